--- a/cmd/quillrail/main.go
+++ b/cmd/quillrail/main.go
@@ -1,4 +1,4 @@
-// Command quillrail is a gateway for functions loaded on demand: it takes calls and sends them to workers.
+// Command quillrail is a gateway for functions that are loaded on demand: it accepts calls and sends them to workers.
 package main
 
 import "quillrail/internal/app"
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -1,4 +1,4 @@
-// Package app is the command line of the program: a gateway for functions loaded on demand.
+// Package app is the command line of quillrail, a gateway for functions that are loaded on demand.
 package app
 
 import (
@@ -16,10 +16,10 @@
 	"quillrail/internal/lifecycle"
 )
 
-// Main runs the program with the arguments of the process, and ends it with 1 after an error, told in one line.
+// Main runs the program with the arguments of the process. After an error it prints one line and exits with code 1.
 func Main() {
 	if lifecycle.Version == "unknown" {
-		lifecycle.Version = strings.Join(strings.Fields(version()), "+") // one word, as operators name it
+		lifecycle.Version = strings.Join(strings.Fields(version()), "+") // one word, since it is an argument of operators' commands
 	}
 	if err := command().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "quillrail:", err)
@@ -28,37 +28,37 @@
 }
 
 func command() *cli.Command {
-	level := &cli.StringFlag{Name: "log-level", Value: "info", Usage: "least level that is logged: debug, info, warn, error"}
-	side := &cli.StringFlag{Name: "mqtt", Value: "deploy/mqtt.toml", Usage: "the file of the MQTT front and the flow export"}
-	peers := &cli.StringFlag{Name: "fleet", Value: "deploy/fleet.toml", Usage: "the file of the fleet that this gateway is of"}
+	level := &cli.StringFlag{Name: "log-level", Value: "info", Usage: "lowest level that is logged: debug, info, warn or error"}
+	mqttFile := &cli.StringFlag{Name: "mqtt", Value: "deploy/mqtt.toml", Usage: "configuration file of the MQTT front and the flow export"}
+	fleetFile := &cli.StringFlag{Name: "fleet", Value: "deploy/fleet.toml", Usage: "configuration file of the fleet that this gateway is in"}
 	return &cli.Command{
 		Name:  "quillrail",
-		Usage: "a gateway for functions loaded on demand",
+		Usage: "a gateway for functions that are loaded on demand",
 		Commands: []*cli.Command{
 			planCommand(),
 			{
 				Name:   "serve",
-				Usage:  "serve calls as the configuration in $NODE_CONFIG says, until SIGTERM",
-				Flags:  []cli.Flag{level, side, peers},
+				Usage:  "serve calls with the configuration file named by $NODE_CONFIG, until SIGTERM",
+				Flags:  []cli.Flag{level, mqttFile, fleetFile},
 				Action: serve,
 			},
 			{
 				Name:  "check-config",
-				Usage: "read the configuration in $NODE_CONFIG and say what is wrong with it",
-				Flags: []cli.Flag{side, peers},
+				Usage: "check the configuration file named by $NODE_CONFIG and print what is wrong with it",
+				Flags: []cli.Flag{mqttFile, fleetFile},
 				Action: func(_ context.Context, c *cli.Command) error {
 					conf, err := lifecycle.FromEnv(c.String("mqtt"), c.String("fleet"))
 					if err != nil {
 						return err
 					}
-					if u := conf.Site.Unknown; len(u) > 0 {
-						return fmt.Errorf("settings: not understood: %s", strings.Join(u, "; "))
+					if unknown := conf.Site.Unknown; len(unknown) > 0 {
+						return fmt.Errorf("settings: not understood: %s", strings.Join(unknown, "; "))
 					}
 					_, err = fmt.Fprintf(c.Root().Writer, "%s: listens on %s, %d classes, %d tenants, event %d\n", conf.Name,
 						conf.Listen, len(conf.Site.Classes), len(conf.Site.Tenants), conf.Last)
-					if f := conf.Fleet; err == nil && f.Enabled {
-						_, err = fmt.Fprintf(c.Root().Writer, "of the fleet %s at %s with %d seeds; what gateways tell each other is "+
-							"neither secret nor signed: loopback and private nets only\n", f.Fleet, f.Bind, len(f.Seeds))
+					if fleet := conf.Fleet; err == nil && fleet.Enabled {
+						_, err = fmt.Fprintf(c.Root().Writer, "fleet %s: bound to %s, %d seeds; messages between gateways are "+
+							"neither encrypted nor signed: use loopback or private networks only\n", fleet.Fleet, fleet.Bind, len(fleet.Seeds))
 					}
 					return err
 				},
@@ -80,14 +80,14 @@
 	if err != nil {
 		return err
 	}
-	hup := make(chan os.Signal, 1) // before anything else: unhandled, the signal ends the process
+	hup := make(chan os.Signal, 1) // first of all, since SIGHUP ends a process that does not handle it
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	conf, err := lifecycle.FromEnv(c.String("mqtt"), c.String("fleet"))
 	if err != nil {
 		return err
 	}
-	signal.Ignore(syscall.SIGPIPE) // a log whose reader has gone is no reason to end
+	signal.Ignore(syscall.SIGPIPE) // a closed reader of the log must not end the process
 	log := newLogger(os.Stderr, level, conf.Name)
 	defer log.Sync()
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
@@ -100,11 +100,11 @@
 	if !ok {
 		return "quillrail (unknown)"
 	}
-	v := info.Main.Version
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			v += " " + s.Value[:min(12, len(s.Value))]
+	text := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			text += " " + setting.Value[:min(12, len(setting.Value))]
 		}
 	}
-	return "quillrail " + v + " " + info.GoVersion
+	return "quillrail " + text + " " + info.GoVersion
 }
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -18,9 +18,9 @@
  "idempotent","key-scope":"all","name":"read","promise-s":0.5}],"policy-limits":{"conn-idle-s":30,"connect-timeout-s":0.25,
  "streams-per-conn":32,"try-limit":5}}}`
 
-// SIGHUP, with nobody to take it, ends a process. Here it has the bulletin followed where the file says now, from the
-// last event; a file that can't be used changes nothing, and the next one is read again.
-func TestSIGHUP(t *testing.T) {
+// On SIGHUP, the gateway reads its configuration again and connects to the bulletin address given there, from the last event on. An
+// unusable file changes nothing, and the next SIGHUP is handled again. A process that doesn't handle SIGHUP would be ended by it.
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "config.json")
 	t.Setenv("NODE_CONFIG", file)
@@ -38,7 +38,7 @@
 		defer l.Close()
 		bulletins = append(bulletins, l)
 	}
-	followed := func(l net.Listener) {
+	expectConnection := func(l net.Listener) {
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -46,31 +46,31 @@
 		t.Cleanup(func() { c.Close() })
 		var last [8]byte
 		if _, err := io.ReadFull(c, last[:]); err != nil || last[7] != 7 {
-			t.Fatalf("asked for what comes after %v: %v", last, err)
+			t.Fatalf("the gateway asked for the events after %v, want 7: %v", last, err)
 		}
 	}
 	write(fmt.Sprintf(config, bulletins[0].Addr()))
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		ended <- command().Run(ctx, []string{"quillrail", "serve", "--log-level", "error", "--mqtt", dir + "/none"})
+		result <- command().Run(ctx, []string{"quillrail", "serve", "--log-level", "error", "--mqtt", dir + "/none"})
 	}()
-	followed(bulletins[0])
+	expectConnection(bulletins[0])
 	for _, l := range bulletins[1:] {
 		write("{")
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		write(fmt.Sprintf(config, l.Addr())) // the process reads either text, or a part of this one
+		write(fmt.Sprintf(config, l.Addr())) // the process may read the invalid text, this one or a part of it
 		syscall.Kill(os.Getpid(), syscall.SIGHUP)
-		followed(l)
+		expectConnection(l)
 	}
 	stop()
-	if err := <-ended; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 }
 
-// The sub-commands that need no platform, and the one line that a missing configuration gives.
-func TestCommands(t *testing.T) {
+// The commands that need no configuration print their output; a missing configuration or a bad flag gives an error of one line.
+func TestCommandOutputAndErrors(t *testing.T) {
 	t.Setenv("NODE_CONFIG", filepath.Join(t.TempDir(), "none.json"))
 	for args, want := range map[string]string{"version": "quillrail ", "help": "check-config", "serve --help": "--mqtt"} {
 		var out bytes.Buffer
--- a/internal/app/stage_test.go
+++ b/internal/app/environment_test.go
@@ -19,17 +19,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// stage is what the processes of one gateway meet: a folder, an address, a bulletin, two workers.
-type stage struct {
-	t      *testing.T
-	dir    string
-	listen string
-	served [2]atomic.Int64 // calls by worker
-	ran    sync.Map        // how often calls ran, by id
-	resets int64           // one call of so many is run and its connection reset, 0 for none
+// environment is what the processes of one gateway need: a directory, an address, a bulletin server and two workers.
+type environment struct {
+	t             *testing.T
+	dir           string
+	listen        string
+	callsByWorker [2]atomic.Int64
+	runsByID      sync.Map // how often each call ran, by request ID
+	resetEvery    int64    // workers reset the connection after running every resetEvery-th call, 0 for none
 }
 
-const workersConfig = `{"name":"n","listen":%q,"seed":"01","limits":{"cores":1,"memory_mb":64,"sockets":256},"bulletin":%q,
+const environmentConfig = `{"name":"n","listen":%q,"seed":"01","limits":{"cores":1,"memory_mb":64,"sockets":256},"bulletin":%q,
  "known":{"no":1,"items":[{"no":1,"roster":{"revision":1,"complete":true,"members":[
  {"id":"s-00000000","host_port":%q,"locality":"x","flavor":"std","cell":0,"phase":"active","size":1,"up_since_ms":0},
  {"id":"s-00000001","host_port":%q,"locality":"x","flavor":"std","cell":0,"phase":"active","size":1,"up_since_ms":0}]}}]},
@@ -40,12 +40,12 @@
  "max-retry-after-s":2,"parallel-tries":true,"retry-after":true,"streams-per-conn":32,"try-limit":5}}}`
 
 // serveOn accepts connections on loopback until the test ends.
-func (s *stage) serveOn(handle func(net.Conn)) string {
+func (env *environment) serveOn(handle func(net.Conn)) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		s.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { l.Close() })
+	env.t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -58,8 +58,8 @@
 	return l.Addr().String()
 }
 
-// worker answers every call with its body.
-func (s *stage) worker(i int) func(net.Conn) {
+// worker returns a connection handler that answers every call with the call's body.
+func (env *environment) worker(i int) func(net.Conn) {
 	return func(c net.Conn) {
 		defer c.Close()
 		r := bufio.NewReader(c)
@@ -78,9 +78,9 @@
 			if _, err := io.ReadFull(r, body); err != nil {
 				return
 			}
-			count, _ := s.ran.LoadOrStore(words[1], new(atomic.Int64))
+			count, _ := env.runsByID.LoadOrStore(words[1], new(atomic.Int64))
 			count.(*atomic.Int64).Add(1)
-			if n := s.served[i].Add(1); s.resets > 0 && n%s.resets == 0 {
+			if n := env.callsByWorker[i].Add(1); env.resetEvery > 0 && n%env.resetEvery == 0 {
 				c.(*net.TCPConn).SetLinger(0)
 				return
 			}
@@ -89,9 +89,9 @@
 	}
 }
 
-func newStage(t *testing.T) *stage {
-	s := &stage{t: t, dir: t.TempDir()}
-	// The address is kept for the gateway by a socket that is bound and never listens.
+func newEnvironment(t *testing.T) *environment {
+	env := &environment{t: t, dir: t.TempDir()}
+	// A socket that is bound but never listens reserves the address for the gateway.
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -105,39 +105,39 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.listen = fmt.Sprint("127.0.0.1:", at.(*unix.SockaddrInet4).Port)
-	bulletin := s.serveOn(func(c net.Conn) { io.Copy(io.Discard, c) })
-	text := fmt.Sprintf(workersConfig, s.listen, bulletin, s.serveOn(s.worker(0)), s.serveOn(s.worker(1)))
-	if err := os.WriteFile(filepath.Join(s.dir, "config.json"), []byte(text), 0o600); err != nil {
+	env.listen = fmt.Sprint("127.0.0.1:", at.(*unix.SockaddrInet4).Port)
+	bulletin := env.serveOn(func(c net.Conn) { io.Copy(io.Discard, c) })
+	text := fmt.Sprintf(environmentConfig, env.listen, bulletin, env.serveOn(env.worker(0)), env.serveOn(env.worker(1)))
+	if err := os.WriteFile(filepath.Join(env.dir, "config.json"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return env
 }
 
 // process is one process of the gateway.
 type process struct {
 	t        *testing.T
 	cmd      *exec.Cmd
-	lines    chan map[string]any // of its log, and
-	past     []map[string]any    // those passed over
+	lines    chan map[string]any // of its log
+	skipped  []map[string]any    // lines that waitForLog has read but not returned
 	operator string
 }
 
-func (s *stage) start() *process { return s.startIn(s.dir) }
+func (env *environment) start() *process { return env.startIn(env.dir) }
 
-// startIn starts a process that looks for others of its gateway in dir.
-func (s *stage) startIn(dir string) *process {
-	p := &process{t: s.t, lines: make(chan map[string]any, 10000), cmd: exec.Command(os.Args[0])}
+// startIn starts a process that looks in dir for another process of its gateway.
+func (env *environment) startIn(dir string) *process {
+	p := &process{t: env.t, lines: make(chan map[string]any, 10000), cmd: exec.Command(os.Args[0])}
 	p.cmd.Env = append(os.Environ(), "QUILLRAIL_TEST_PROCESS=1", "TMPDIR="+dir, "NODE_OPERATOR=127.0.0.1:0",
-		"NODE_CONFIG="+filepath.Join(s.dir, "config.json"))
+		"NODE_CONFIG="+filepath.Join(env.dir, "config.json"))
 	out, err := p.cmd.StderrPipe()
 	if err != nil {
-		s.t.Fatal(err)
+		env.t.Fatal(err)
 	}
 	if err := p.cmd.Start(); err != nil {
-		s.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { p.cmd.Process.Kill() })
+	env.t.Cleanup(func() { p.cmd.Process.Kill() })
 	go func() {
 		defer close(p.lines)
 		for in := bufio.NewScanner(out); in.Scan(); {
@@ -147,16 +147,16 @@
 			}
 		}
 	}()
-	p.operator = p.line("operators are heard")["at"].(string)
+	p.operator = p.waitForLog("operators are heard")["at"].(string)
 	return p
 }
 
-// line waits for a line of the log, each of which is found once.
-func (p *process) line(msg string) map[string]any {
+// waitForLog waits for a log line with the message msg. It returns each line once.
+func (p *process) waitForLog(msg string) map[string]any {
 	p.t.Helper()
-	for i, l := range p.past {
+	for i, l := range p.skipped {
 		if l["msg"] == msg {
-			p.past = slices.Delete(p.past, i, i+1)
+			p.skipped = slices.Delete(p.skipped, i, i+1)
 			return l
 		}
 	}
@@ -164,14 +164,14 @@
 		if l["msg"] == msg {
 			return l
 		}
-		p.past = append(p.past, l)
+		p.skipped = append(p.skipped, l)
 	}
-	p.t.Fatalf("the process ended without %q: %v", msg, p.past)
+	p.t.Fatalf("the process ended without the log line %q: %v", msg, p.skipped)
 	return nil
 }
 
-// ask makes an operator's call.
-func (p *process) ask(call string) string {
+// operatorCall sends a call to the operator listener and returns the reply.
+func (p *process) operatorCall(call string) string {
 	p.t.Helper()
 	c, err := net.Dial("tcp", p.operator)
 	if err != nil {
@@ -186,10 +186,10 @@
 	return string(got)
 }
 
-// end sends a signal and waits for the process to end.
-func (p *process) end(sig os.Signal) error {
+// signalAndWait sends a signal and waits for the process to end.
+func (p *process) signalAndWait(sig os.Signal) error {
 	p.cmd.Process.Signal(sig)
-	for range p.lines { // to the end of the log
+	for range p.lines { // read to the end of the log
 	}
 	return p.cmd.Wait()
 }
--- a/internal/app/load_test.go
+++ b/internal/app/load_test.go
@@ -12,71 +12,73 @@
 	"testing"
 )
 
-// load is clients that call without a pause, each on a connection that it keeps while the gateway does, or on a new one
-// each time. A refusal is an answer: a worker that is called back is cold, and bears little.
+// load is a set of clients that send calls without a pause. One half opens a new connection for each call, the other half keeps a
+// connection for as long as the gateway does. A refusal counts as an answer: a worker whose ban was lifted is cold and can serve
+// little.
 type load struct {
-	stop   atomic.Bool
-	wg     sync.WaitGroup
-	done   atomic.Int64
-	mu     sync.Mutex
-	faults []string
-	more   chan struct{} // one for each call served
+	stop     atomic.Bool
+	clients  sync.WaitGroup
+	answered atomic.Int64
+	mu       sync.Mutex
+	failures []string
+	progress chan struct{} // receives a value when a call has ended
 }
 
-func (s *stage) load(clients int) *load {
-	l := &load{more: make(chan struct{}, 1)}
+func (env *environment) load(clients int) *load {
+	l := &load{progress: make(chan struct{}, 1)}
 	for i := range clients {
-		l.wg.Add(1)
+		l.clients.Add(1)
 		go func() {
-			defer l.wg.Done()
+			defer l.clients.Done()
 			var conn net.Conn
-			var r *bufio.Reader
+			var reader *bufio.Reader
 			for n := 0; !l.stop.Load(); n++ {
 				if conn != nil && i%2 == 0 {
 					conn.Close()
 					conn = nil
 				}
-				kept := conn != nil
-				err := errors.New("none")
-				for try := 0; try < 2 && err != nil; try++ {
+				reused := conn != nil
+				err := errors.New("not sent")
+				for attempt := 0; attempt < 2 && err != nil; attempt++ {
 					if conn == nil {
-						if conn, err = net.Dial("tcp", s.listen); err != nil {
+						if conn, err = net.Dial("tcp", env.listen); err != nil {
 							break
 						}
-						r = bufio.NewReader(conn)
+						reader = bufio.NewReader(conn)
 					}
 					fmt.Fprintf(conn, "POST /do/%016x/call HTTP/1.1\r\nX-Class: read\r\nReq-Owner: a\r\nReq-Id: %08x%08x\r\n"+
 						"Req-Wait-Ms: 4000\r\nContent-Length: 2\r\n\r\nhi", n%5, i, n)
-					var resp *http.Response
-					if resp, err = http.ReadResponse(r, nil); err == nil {
+					var response *http.Response
+					if response, err = http.ReadResponse(reader, nil); err == nil {
 						var body []byte
-						if body, err = io.ReadAll(resp.Body); err == nil && resp.StatusCode != 503 && (resp.StatusCode != 200 || string(body) != "hi") {
-							err = fmt.Errorf("status %d, body %q", resp.StatusCode, body)
+						if body, err = io.ReadAll(response.Body); err == nil && response.StatusCode != 503 &&
+							(response.StatusCode != 200 || string(body) != "hi") {
+							err = fmt.Errorf("status %d, body %q", response.StatusCode, body)
 							break
 						}
-						if resp.Close || err != nil {
+						if response.Close || err != nil {
 							conn.Close()
 							conn = nil
 						}
 					} else {
 						conn.Close()
-						if conn = nil; !kept || try > 0 { // only a request that crossed the close of an idle connection may go again
+						if conn = nil; !reused || attempt > 0 { // only a request that crossed the close of an idle connection may be sent again
 							break
 						}
 					}
 				}
 				if err != nil {
 					l.mu.Lock()
-					l.faults = append(l.faults, err.Error())
+					l.failures = append(l.failures, err.Error())
 					l.mu.Unlock()
 					if conn != nil {
 						conn.Close()
 						conn = nil
 					}
 				}
-				l.done.Add(1)
+				l.answered.Add(1)
 				select {
-				case l.more <- struct{}{}:
+				case l.progress <- struct{}{}:
 				default:
 				}
 			}
@@ -88,19 +90,19 @@
 	return l
 }
 
-// calls waits until so many more have been answered.
-func (l *load) calls(n int64) {
-	for until := l.done.Load() + n; l.done.Load() < until; {
-		<-l.more
+// waitForCalls waits until n more calls have ended.
+func (l *load) waitForCalls(n int64) {
+	for until := l.answered.Load() + n; l.answered.Load() < until; {
+		<-l.progress
 	}
 }
 
-// end stops the clients and reports their faults.
-func (l *load) end(t *testing.T) {
+// stopAndCheck stops the clients and fails the test if any call failed.
+func (l *load) stopAndCheck(t *testing.T) {
 	t.Helper()
 	l.stop.Store(true)
-	l.wg.Wait()
-	if len(l.faults) > 0 {
-		t.Errorf("%d of %d calls failed, first: %s", len(l.faults), l.done.Load(), l.faults[0])
+	l.clients.Wait()
+	if len(l.failures) > 0 {
+		t.Errorf("%d of %d calls failed, the first with: %s", len(l.failures), l.answered.Load(), l.failures[0])
 	}
 }
--- a/internal/app/logqueue.go
+++ b/internal/app/logqueue.go
@@ -8,61 +8,61 @@
 )
 
 const (
-	queueBytes = 256 << 10              // of lines that wait to be written
-	syncLimit  = 200 * time.Millisecond // for the last lines, as the process ends
+	maxQueuedBytes = 256 << 10              // maximum size of the lines that are not written yet
+	syncTimeout    = 200 * time.Millisecond // for the last lines when the process ends
 )
 
-// logQueue writes lines on a goroutine of its own, so that whoever logs never waits for the file, pipe or terminal behind it. What
-// finds no room is dropped, and how many lines that were is written once there is room again.
+// logQueue writes log lines on a goroutine of its own, so that callers never wait for the file, pipe or terminal that receives them.
+// Lines beyond maxQueuedBytes are dropped. Their number is logged once there is room again.
 type logQueue struct {
-	out     io.Writer
-	dropped func(lines int) []byte // words the line that says so
+	out           io.Writer
+	formatDropped func(lines int) []byte // returns the line that reports dropped lines
 
-	mu      sync.Mutex
-	waiting [][]byte
-	bytes   int
-	missing int           // lines dropped since the last one that was taken
-	idle    chan struct{} // closed while nothing waits or is being written
-	wake    chan struct{}
+	mu           sync.Mutex
+	pending      [][]byte
+	pendingBytes int
+	droppedLines int           // lines dropped since the last one that was queued
+	idle         chan struct{} // closed while no line is pending or being written
+	wake         chan struct{}
 }
 
-// newLogQueue returns a queue before out. Its goroutine lives as long as the process.
+// newLogQueue returns a queue that writes to out. Its goroutine runs until the process ends.
 func newLogQueue(out io.Writer, dropped func(lines int) []byte) *logQueue {
-	q := &logQueue{out: out, dropped: dropped, idle: make(chan struct{}), wake: make(chan struct{}, 1)}
+	q := &logQueue{out: out, formatDropped: dropped, idle: make(chan struct{}), wake: make(chan struct{}, 1)}
 	close(q.idle)
 	go q.run()
 	return q
 }
 
-// Write takes a line. It never blocks and never fails.
+// Write queues or drops a line. It never blocks and never fails.
 func (q *logQueue) Write(line []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.bytes+len(line) > queueBytes {
-		q.missing++
+	if q.pendingBytes+len(line) > maxQueuedBytes {
+		q.droppedLines++
 		return len(line), nil
 	}
-	if q.missing > 0 {
-		q.take(q.dropped(q.missing))
-		q.missing = 0
+	if q.droppedLines > 0 {
+		q.enqueue(q.formatDropped(q.droppedLines))
+		q.droppedLines = 0
 	}
-	q.take(append([]byte(nil), line...))
+	q.enqueue(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// take puts a line behind the others. q.mu is held.
-func (q *logQueue) take(line []byte) {
-	if q.bytes == 0 {
+// enqueue appends a line to the queue. The caller must hold q.mu.
+func (q *logQueue) enqueue(line []byte) {
+	if q.pendingBytes == 0 {
 		q.idle = make(chan struct{})
 	}
-	q.waiting, q.bytes = append(q.waiting, line), q.bytes+len(line)
+	q.pending, q.pendingBytes = append(q.pending, line), q.pendingBytes+len(line)
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Sync waits until all lines are written, but not for long.
+// Sync waits until all lines are written, for syncTimeout at most.
 func (q *logQueue) Sync() error {
 	q.mu.Lock()
 	idle := q.idle
@@ -70,31 +70,31 @@
 	select {
 	case <-idle:
 		return nil
-	case <-time.After(syncLimit):
-		return fmt.Errorf("the log is not written in %v", syncLimit)
+	case <-time.After(syncTimeout):
+		return fmt.Errorf("log lines are not all written after %v", syncTimeout)
 	}
 }
 
 func (q *logQueue) run() {
 	for range q.wake {
 		for line := q.next(0); line != nil; {
-			q.out.Write(line) // an error has nowhere to be told
+			q.out.Write(line) // an error could not be reported anywhere
 			line = q.next(len(line))
 		}
 	}
 }
 
-// next notes that so many bytes are written, and returns the next line, nil if none waits.
+// next records that written bytes have been written, and returns the next pending line, or nil if there is none.
 func (q *logQueue) next(written int) (line []byte) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.bytes -= written
-	if len(q.waiting) == 0 {
+	q.pendingBytes -= written
+	if len(q.pending) == 0 {
 		if written > 0 {
 			close(q.idle)
 		}
 		return nil
 	}
-	line, q.waiting = q.waiting[0], q.waiting[1:]
+	line, q.pending = q.pending[0], q.pending[1:]
 	return line
 }
--- a/internal/app/names_test.go
+++ b/internal/app/names_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// siteNames are the words by which a program or a deploy file could know one deployment from another: names of sites,
-// tenants, classes, halls and kinds of worker of the deployments that quillrail serves.
-var siteNames = regexp.MustCompile(`(?i)\b(riga-telemetry|riga|larder-hq|larder|latvian|braeside|daugava\w*|kurzeme\w*|vidzeme\w*|` +
+// deploymentNames matches the names of sites, tenants, classes, halls and worker kinds of the deployments that quillrail serves. With
+// them, a program or a deploy file could treat one deployment differently from another.
+var deploymentNames = regexp.MustCompile(`(?i)\b(riga-telemetry|riga|larder-hq|larder|latvian|braeside|daugava\w*|kurzeme\w*|vidzeme\w*|` +
 	`glenmuir\w*|kinbrae\w*|ardlow\w*|corran\w*|balfie\w*|status-read|remote-command|swap-suggest|slot-hold|order-confirm|` +
 	`hall-[abc]|std-2c|wide-3c|quick-3c|plain-3c)\b`)
 
-// Nothing in the code or the deploy files is fitted to one deployment: a difference between them is told by their settings
-// alone. The words themselves stand in this file only.
-func TestNothingKnowsADeployment(t *testing.T) {
+// No code and no deploy file may be specific to one deployment: deployments differ only in their settings. This file is the only one
+// in which the names may occur.
+func TestNoDeploymentNamesInSources(t *testing.T) {
 	read := 0
 	for _, top := range []string{"cmd", "decide", "deploy", "internal", "tools", ".ci"} {
 		err := filepath.WalkDir(filepath.Join("..", "..", top), func(path string, d fs.DirEntry, err error) error {
@@ -30,7 +30,7 @@
 			}
 			read++
 			for i, line := range strings.Split(string(text), "\n") {
-				if name := siteNames.FindString(line); name != "" {
+				if name := deploymentNames.FindString(line); name != "" {
 					t.Errorf("%s:%d names %q", path, i+1, name)
 				}
 			}
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 	}
-	if read < 100 || !siteNames.MatchString(`zone = "hall-a"`) {
-		t.Errorf("%d files were read", read)
+	if read < 100 || !deploymentNames.MatchString(`zone = "hall-a"`) {
+		t.Errorf("%d files were searched, want at least 100 and a pattern that matches", read)
 	}
 }
--- a/internal/app/plan.go
+++ b/internal/app/plan.go
@@ -17,77 +17,77 @@
 
 // The exit codes of the plan commands besides 0 and 1.
 const (
-	exitNoPlan = 2 // no plan exists
-	exitTime   = 3 // none found in time
-	exitDiffer = 4 // diff: there is something to do
+	exitNoPlan    = 2 // no plan exists
+	exitTimeout   = 3 // no plan found in time
+	exitDifferent = 4 // diff: the best plan needs loads or unloads
 )
 
 func planCommand() *cli.Command {
-	limit := &cli.DurationFlag{Name: "limit", Value: time.Second, Usage: "how long to search"}
-	steps := &cli.Int64Flag{Name: "steps", Usage: "search for so many steps instead, for the same result on any machine"}
+	limit := &cli.DurationFlag{Name: "limit", Value: time.Second, Usage: "time limit of the search"}
+	steps := &cli.Int64Flag{Name: "steps", Usage: "number of search steps instead of a time limit, for the same result on any machine"}
 	asJSON := &cli.BoolFlag{Name: "json", Usage: "print JSON"}
-	command := func(name, usage string, flags []cli.Flag, do func(c *cli.Command, p *plan.Problem) error) *cli.Command {
+	command := func(name, usage string, flags []cli.Flag, run func(c *cli.Command, problem *plan.Problem) error) *cli.Command {
 		return &cli.Command{Name: name, Usage: usage, ArgsUsage: "FILE", Flags: flags,
 			Action: func(_ context.Context, c *cli.Command) error {
-				p, err := readProblem(c.Args().First())
+				problem, err := readProblem(c.Args().First())
 				if err != nil {
 					return err
 				}
-				return do(c, p)
+				return run(c, problem)
 			}}
 	}
-	solve := func(c *cli.Command, p *plan.Problem) (*plan.Plan, error) {
-		o := plan.Options{Steps: c.Int64("steps")}
-		if o.Steps == 0 {
-			o.Clock, o.Limit = func() time.Duration { return time.Duration(time.Now().UnixNano()) }, c.Duration("limit")
-			o.Steps = int64(c.Duration("limit").Seconds() * 300_000_000)
+	solve := func(c *cli.Command, problem *plan.Problem) (*plan.Plan, error) {
+		options := plan.Options{Steps: c.Int64("steps")}
+		if options.Steps == 0 {
+			options.Clock, options.Limit = func() time.Duration { return time.Duration(time.Now().UnixNano()) }, c.Duration("limit")
+			options.Steps = int64(c.Duration("limit").Seconds() * 300_000_000) // at about 300 million steps a second
 		}
-		r := plan.Solve(p, o)
-		return r, plan.Verify(p, r)
+		result := plan.Solve(problem, options)
+		return result, plan.Verify(problem, result)
 	}
 	return &cli.Command{
 		Name:  "plan",
-		Usage: "work out where copies of models should stand; FILE is TOML, or JSON if it ends in .json",
+		Usage: "compute on which workers copies of models should be loaded; FILE is TOML, or JSON if its name ends in .json",
 		Commands: []*cli.Command{
-			command("check", "read the problem and say what is wrong with it", nil, func(c *cli.Command, p *plan.Problem) error {
-				_, err := fmt.Fprintf(c.Root().Writer, "%d workers, %d models, %d copies present\n", len(p.Workers), len(p.Models),
-					len(p.Present))
+			command("check", "check the problem and print what is wrong with it", nil, func(c *cli.Command, problem *plan.Problem) error {
+				_, err := fmt.Fprintf(c.Root().Writer, "%d workers, %d models, %d copies present\n", len(problem.Workers), len(problem.Models),
+					len(problem.Present))
 				return err
 			}),
 			command("solve", "print the copies, shares and moves of the best plan", []cli.Flag{limit, steps, asJSON},
-				func(c *cli.Command, p *plan.Problem) error {
-					r, err := solve(c, p)
+				func(c *cli.Command, problem *plan.Problem) error {
+					result, err := solve(c, problem)
 					if err != nil {
 						return err
 					}
 					if c.Bool("json") {
-						return finish(r, writeJSON(c.Root().Writer, r))
+						return verdictError(result, writeJSON(c.Root().Writer, result))
 					}
-					return finish(r, printPlan(c.Root().Writer, r, true))
+					return verdictError(result, printPlan(c.Root().Writer, result, true))
 				}),
-			command("explain", "print what the best plan is worth and what it costs, or why there is none", []cli.Flag{limit, steps},
-				func(c *cli.Command, p *plan.Problem) error {
-					r, err := solve(c, p)
+			command("explain", "print the value and the costs of the best plan, or why there is none", []cli.Flag{limit, steps},
+				func(c *cli.Command, problem *plan.Problem) error {
+					result, err := solve(c, problem)
 					if err != nil {
 						return err
 					}
-					return finish(r, explain(c.Root().Writer, p, r))
+					return verdictError(result, explain(c.Root().Writer, problem, result))
 				}),
 			command("diff", "print the loads and unloads that lead to the best plan; exit code 4 if there are any",
-				[]cli.Flag{limit, steps, asJSON}, func(c *cli.Command, p *plan.Problem) error {
-					r, err := solve(c, p)
+				[]cli.Flag{limit, steps, asJSON}, func(c *cli.Command, problem *plan.Problem) error {
+					result, err := solve(c, problem)
 					if err != nil {
 						return err
 					}
 					if c.Bool("json") {
-						err = writeJSON(c.Root().Writer, r.Moves)
+						err = writeJSON(c.Root().Writer, result.Moves)
 					} else {
-						for _, m := range r.Moves {
-							fmt.Fprintln(c.Root().Writer, m.Do, m.Model, m.Worker)
+						for _, move := range result.Moves {
+							fmt.Fprintln(c.Root().Writer, move.Do, move.Model, move.Worker)
 						}
 					}
-					if err = finish(r, err); err == nil && len(r.Moves) > 0 {
-						return cli.Exit("", exitDiffer)
+					if err = verdictError(result, err); err == nil && len(result.Moves) > 0 {
+						return cli.Exit("", exitDifferent)
 					}
 					return err
 				}),
@@ -95,15 +95,15 @@
 	}
 }
 
-// finish turns a verdict into an exit code, once what there is to say is printed.
-func finish(r *plan.Plan, err error) error {
+// verdictError returns err, or else an error with the exit code of the plan's verdict. It is called once the output is printed.
+func verdictError(result *plan.Plan, err error) error {
 	switch {
 	case err != nil:
 		return err
-	case r.Verdict == plan.None:
-		return cli.Exit(r.Verdict, exitNoPlan)
-	case r.Verdict == plan.Unknown:
-		return cli.Exit(r.Verdict, exitTime)
+	case result.Verdict == plan.None:
+		return cli.Exit(result.Verdict, exitNoPlan)
+	case result.Verdict == plan.Unknown:
+		return cli.Exit(result.Verdict, exitTimeout)
 	}
 	return nil
 }
@@ -120,66 +120,67 @@
 	if filepath.Ext(path) == ".json" {
 		read = plan.ReadJSON
 	}
-	p, err := read(text)
+	problem, err := read(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return p, nil
+	return problem, nil
 }
 
-func writeJSON(w io.Writer, v any) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+func writeJSON(out io.Writer, value any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(value)
 }
 
-func printPlan(out io.Writer, r *plan.Plan, all bool) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "verdict\t%s\n", r.Verdict)
-	for _, name := range r.Conflict {
-		fmt.Fprintf(w, "conflict\t%s\n", name)
+func printPlan(out io.Writer, result *plan.Plan, withPlacement bool) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "verdict\t%s\n", result.Verdict)
+	for _, name := range result.Conflict {
+		fmt.Fprintf(table, "conflict\t%s\n", name)
 	}
-	if r.Verdict != plan.Optimal && r.Verdict != plan.Best {
-		return w.Flush()
+	if result.Verdict != plan.Optimal && result.Verdict != plan.Best {
+		return table.Flush()
 	}
-	fmt.Fprintf(w, "score\t%d\nbound\t%d\n", r.Score, r.Bound)
-	if !all {
-		return w.Flush()
+	fmt.Fprintf(table, "score\t%d\nbound\t%d\n", result.Score, result.Bound)
+	if !withPlacement {
+		return table.Flush()
 	}
-	for _, k := range r.Copies {
-		fmt.Fprintf(w, "copy\t%s\t%s\n", k.Model, k.Worker)
+	for _, loaded := range result.Copies {
+		fmt.Fprintf(table, "copy\t%s\t%s\n", loaded.Model, loaded.Worker)
 	}
-	for _, s := range r.Shares {
-		fmt.Fprintf(w, "share\t%s\t%s\t%s from %s\t%d mcores\n", s.Model, s.Worker, s.Class, s.Hall, s.Mcores)
+	for _, share := range result.Shares {
+		fmt.Fprintf(table, "share\t%s\t%s\t%s from %s\t%d mcores\n", share.Model, share.Worker, share.Class, share.Hall, share.Mcores)
 	}
-	for _, m := range r.Moves {
-		fmt.Fprintf(w, "%s\t%s\t%s\n", m.Do, m.Model, m.Worker)
+	for _, move := range result.Moves {
+		fmt.Fprintf(table, "%s\t%s\t%s\n", move.Do, move.Model, move.Worker)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// explain says where the points come from and what is not served.
-func explain(out io.Writer, p *plan.Problem, r *plan.Plan) error {
-	if err := printPlan(out, r, false); err != nil || r.Verdict != plan.Optimal && r.Verdict != plan.Best {
+// explain prints how the plan's score is composed and which calls it doesn't serve.
+func explain(out io.Writer, problem *plan.Problem, result *plan.Plan) error {
+	if err := printPlan(out, result, false); err != nil || result.Verdict != plan.Optimal && result.Verdict != plan.Best {
 		return err
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(w, "worth of the work served\t%d\n", r.Price.Worth)
-	fmt.Fprintf(w, "less crossings of halls\t%d\n", r.Price.Cross)
-	fmt.Fprintf(w, "less memory held\t%d\n", r.Price.Memory)
-	fmt.Fprintf(w, "less load time\t%d\n", r.Price.Load)
-	fmt.Fprintf(w, "less copies moved\t%d\n", r.Price.Move)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "worth of the work served\t%d\n", result.Price.Worth)
+	fmt.Fprintf(table, "less crossings of halls\t%d\n", result.Price.Cross)
+	fmt.Fprintf(table, "less memory held\t%d\n", result.Price.Memory)
+	fmt.Fprintf(table, "less load time\t%d\n", result.Price.Load)
+	fmt.Fprintf(table, "less copies moved\t%d\n", result.Price.Move)
 	type demand struct{ model, class, hall string }
 	served := map[demand]int64{}
-	for _, s := range r.Shares {
-		served[demand{s.Model, s.Class, s.Hall}] += s.Mcores
-	}
-	for _, m := range p.Models {
-		for _, d := range m.Calls {
-			if left := d.Mcores - served[demand{m.ID, d.Class, d.Hall}]; left > 0 {
-				fmt.Fprintf(w, "not served: %s of %s from %s\t%d of %d mcores\n", d.Class, m.ID, d.Hall, left, d.Mcores)
+	for _, share := range result.Shares {
+		served[demand{share.Model, share.Class, share.Hall}] += share.Mcores
+	}
+	for _, model := range problem.Models {
+		for _, calls := range model.Calls {
+			if unserved := calls.Mcores - served[demand{model.ID, calls.Class, calls.Hall}]; unserved > 0 {
+				fmt.Fprintf(table, "not served: %s of %s from %s\t%d of %d mcores\n", calls.Class, model.ID, calls.Hall, unserved,
+					calls.Mcores)
 			}
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
--- a/internal/app/plan_test.go
+++ b/internal/app/plan_test.go
@@ -15,7 +15,7 @@
 	"quillrail/internal/plan"
 )
 
-// The plan commands on the example of the operators' page: what they print and the code they end with.
+// The plan commands print the expected text and exit with the expected code, for the example of the operators' documentation.
 func TestPlanCommands(t *testing.T) {
 	text, err := os.ReadFile("../../docs/plan-example.toml")
 	if err != nil {
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	asJSON, _ := json.Marshal(p)
-	for _, x := range []struct {
+	for _, test := range []struct {
 		args []string
 		code int
 		want string
@@ -62,13 +62,13 @@
 		{[]string{"check"}, 1, "a file is needed"},
 		{[]string{"solve", "--steps", "1000000", good}, 0, "verdict  optimal"},
 		{[]string{"solve", "--json", good}, 0, `"verdict": "optimal"`},
-		{[]string{"solve", "--steps", "1", good}, exitTime, "none found in time"},
+		{[]string{"solve", "--steps", "1", good}, exitTimeout, "none found in time"},
 		{[]string{"explain", good}, 0, "worth of the work served"},
 		{[]string{"explain", tight}, exitNoPlan, "conflict  memory of worker"},
-		{[]string{"diff", good}, exitDiffer, "load "},
+		{[]string{"diff", good}, exitDifferent, "load "},
 	} {
-		if got, code := run(x.args...); code != x.code || !strings.Contains(got, x.want) {
-			t.Errorf("%q: code %d, want %d:\n%s", x.args, code, x.code, got)
+		if got, code := run(test.args...); code != test.code || !strings.Contains(got, test.want) {
+			t.Errorf("%q: exit code %d, want %d, with the output:\n%s", test.args, code, test.code, got)
 		}
 	}
 }
--- a/internal/app/structure_test.go
+++ b/internal/app/structure_test.go
@@ -11,13 +11,13 @@
 	"testing"
 )
 
-const root = "../.."
+const moduleRoot = "../.."
 
-// goFiles calls f with each Go file of the project, tests among them.
+// goFiles calls f with the path of each Go file of the project, including tests.
 func goFiles(t *testing.T, f func(path string) error) {
 	t.Helper()
 	for _, top := range []string{"cmd", "decide", "internal", "tools"} {
-		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
+		err := filepath.WalkDir(filepath.Join(moduleRoot, top), func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") {
 				return err
 			}
@@ -29,7 +29,7 @@
 	}
 }
 
-// sources calls f with each Go file of the program that is not a test, by its slash-separated path from the root.
+// sources parses each Go file that is not a test and calls f with it and its slash-separated path from the module's root.
 func sources(t *testing.T, f func(path string, file *ast.File, fset *token.FileSet)) {
 	t.Helper()
 	fset := token.NewFileSet()
@@ -41,13 +41,13 @@
 		if err != nil {
 			return err
 		}
-		relative, err := filepath.Rel(root, path)
+		relative, err := filepath.Rel(moduleRoot, path)
 		f(filepath.ToSlash(relative), file, fset)
 		return err
 	})
 }
 
-// Every package and every exported item has a doc comment.
+// Every package and every exported item must have a doc comment.
 func TestDocComments(t *testing.T) {
 	packages := map[string]bool{}
 	sources(t, func(path string, file *ast.File, fset *token.FileSet) {
@@ -59,12 +59,12 @@
 	})
 	for dir, documented := range packages {
 		if !documented {
-			t.Errorf("%s: the package has no comment", dir)
+			t.Errorf("%s: the package has no doc comment", dir)
 		}
 	}
 }
 
-// undocumented lists the exported items of a file that have no doc comment. One comment may stand for a group.
+// undocumented returns the exported items of a file that have no doc comment. One comment may cover a group.
 func undocumented(file *ast.File) (items []ast.Node) {
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
@@ -83,7 +83,7 @@
 	return items
 }
 
-// documentedSpec reports whether a spec needs no comment of its group.
+// documentedSpec reports whether a spec needs no comment on its group.
 func documentedSpec(spec ast.Spec) bool {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
@@ -110,7 +110,7 @@
 	return ok && name.IsExported()
 }
 
-// implements reports whether a method belongs to an interface of the standard library, whose comment stands for it.
+// implements reports whether a method implements an interface of the standard library, which documents it.
 func implements(d *ast.FuncDecl) bool {
 	switch d.Name.Name {
 	case "Error", "String", "Len", "Less", "Swap", "Push", "Pop", "Write", "Close":
@@ -119,20 +119,20 @@
 	return false
 }
 
-const mostLines = 250 // of a Go file; beyond it a file has more than one concern
+const maxLines = 250 // of a Go file; a longer one probably has more than one concern
 
-// No Go file, a test or not, is longer than can be read in one go.
-func TestFilesAreShort(t *testing.T) {
+// No Go file, including tests, may be longer than maxLines.
+func TestFileLengths(t *testing.T) {
 	goFiles(t, func(path string) error {
 		text, err := os.ReadFile(path)
-		if lines := strings.Count(string(text), "\n"); lines > mostLines {
-			t.Errorf("%s has %d lines, %d at most", path, lines, mostLines)
+		if lines := strings.Count(string(text), "\n"); lines > maxLines {
+			t.Errorf("%s has %d lines, want at most %d", path, lines, maxLines)
 		}
 		return err
 	})
 }
 
-// layers are the packages by what they may import of the program: those before them, and of their own layer.
+// layers lists the packages from the lowest layer to the highest. A package may import packages of its own and of lower layers.
 var layers = [][]string{
 	{"internal/ranking", "internal/transient"},
 	{"decide"},
@@ -155,17 +155,17 @@
 	return -1
 }
 
-// Imports point downward: from the program's edge to the wire, the core and the decisions.
+// Packages must not import packages of a higher layer: the command line is the highest, decisions are at the bottom.
 func TestImportsPointDownward(t *testing.T) {
 	sources(t, func(path string, file *ast.File, fset *token.FileSet) {
 		own := layerOf(filepath.ToSlash(filepath.Dir(path)))
 		if own < 0 {
-			t.Errorf("%s is in no layer", path)
+			t.Errorf("%s belongs to no layer", path)
 		}
 		for _, spec := range file.Imports {
 			name, inside := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), "quillrail/")
 			if imported := layerOf(name); inside && imported > own {
-				t.Errorf("%s imports %s, which is above it", path, name)
+				t.Errorf("%s imports %s, which is in a higher layer", path, name)
 			}
 		}
 	})
--- a/internal/app/upgrade_test.go
+++ b/internal/app/upgrade_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestMain lets the test's program stand for the gateway's, so that tests can start real processes of it.
+// TestMain runs the gateway instead of the tests if the environment asks for it, so that tests can start real gateway processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("QUILLRAIL_TEST_PROCESS") != "" {
 		os.Args = []string{"quillrail", "serve", "--mqtt", "none"}
@@ -19,169 +19,170 @@
 	os.Exit(m.Run())
 }
 
-// Twice in a row a new version takes over under load, and no call is lost; the ban goes along, is kept equal on both
-// sides while both run, and its end as well.
+// When a new process takes over under load, twice in a row, no call is lost. Bans are handed over, and while both processes run,
+// setting and lifting a ban at one of them takes effect at the other too.
 func TestUpgradeUnderLoad(t *testing.T) {
-	s := newStage(t)
-	old := s.start()
-	old.line("ready")
-	l := s.load(8)
-	l.calls(100)
-	if got := old.ask("disable-server s-00000000"); got != "SUCCESS\n" {
+	env := newEnvironment(t)
+	old := env.start()
+	old.waitForLog("ready")
+	l := env.load(8)
+	l.waitForCalls(100)
+	if got := old.operatorCall("disable-server s-00000000"); got != "SUCCESS\n" {
 		t.Fatal(got)
 	}
 	for range 2 {
-		next := s.start()
-		next.line("taking over from a process that serves")
-		next.line("ready")
-		old.line("the new process is ready")
-		if got := next.ask("ready"); got != "SUCCESS\n" {
+		next := env.start()
+		next.waitForLog("taking over from a process that serves")
+		next.waitForLog("ready")
+		old.waitForLog("the new process is ready")
+		if got := next.operatorCall("ready"); got != "SUCCESS\n" {
 			t.Errorf("the new process: %s", got)
 		}
-		l.calls(100)
-		before := s.served[0].Load()
-		l.calls(100)
-		if s.served[0].Load() != before {
-			t.Error("a worker left out by hand is sent to")
+		l.waitForCalls(100)
+		before := env.callsByWorker[0].Load()
+		l.waitForCalls(100)
+		if env.callsByWorker[0].Load() != before {
+			t.Error("a banned worker got calls")
 		}
-		if err := old.end(syscall.SIGTERM); err != nil {
+		if err := old.signalAndWait(syscall.SIGTERM); err != nil {
 			t.Errorf("the old process: %v", err)
 		}
-		next.line("the old process has ended")
-		l.calls(100)
-		if got := next.ask("show-stat"); !strings.Contains(got, "svc.pool_ejected:1|g\n") {
-			t.Errorf("figures %s", got)
+		next.waitForLog("the old process has ended")
+		l.waitForCalls(100)
+		if got := next.operatorCall("show-stat"); !strings.Contains(got, "svc.pool_ejected:1|g\n") {
+			t.Errorf("show-stat: %s", got)
 		}
 		old = next
 	}
-	next := s.start()
-	next.line("ready")
-	old.line("the new process is ready")
-	if got := next.ask("enable-server s-00000000"); got != "SUCCESS\n" { // at one of the two is enough
+	next := env.start()
+	next.waitForLog("ready")
+	old.waitForLog("the new process is ready")
+	if got := next.operatorCall("enable-server s-00000000"); got != "SUCCESS\n" { // sent to one of the two processes only
 		t.Error(got)
 	}
-	if got := next.ask("disable-server s-00000001"); got != "SUCCESS\n" {
+	if got := next.operatorCall("disable-server s-00000001"); got != "SUCCESS\n" {
 		t.Error(got)
 	}
-	l.calls(100) // what was sent before the ban has been answered, at either
+	l.waitForCalls(100) // by then, what both processes sent before the ban has been answered
 	for ejected := ""; !strings.Contains(ejected, "svc.pool_ejected:1|g\n"); {
-		ejected = old.ask("show-stat")
+		ejected = old.operatorCall("show-stat")
 	}
-	if err := old.end(syscall.SIGTERM); err != nil {
+	if err := old.signalAndWait(syscall.SIGTERM); err != nil {
 		t.Errorf("the old process: %v", err)
 	}
-	before := s.served[0].Load()
-	if l.calls(100); s.served[0].Load() == before {
-		t.Error("a worker that was called back gets nothing")
+	before := env.callsByWorker[0].Load()
+	if l.waitForCalls(100); env.callsByWorker[0].Load() == before {
+		t.Error("a worker whose ban was lifted got no calls")
 	}
-	l.end(t)
-	if err := next.end(syscall.SIGTERM); err != nil {
+	l.stopAndCheck(t)
+	if err := next.signalAndWait(syscall.SIGTERM); err != nil {
 		t.Errorf("the last process: %v", err)
 	}
 }
 
-// A new process that dies before its yes, or after it, leaves the old one serving; the next one can take over.
-func TestNewProcessDies(t *testing.T) {
-	s := newStage(t)
-	old := s.start()
-	old.line("ready")
-	l := s.load(4)
-	l.calls(50)
-	early := s.start() // its listening socket is the old one's, but it may not have said that it is ready
-	early.end(syscall.SIGKILL)
-	old.line("the new process has gone")
-	late := s.start()
-	late.line("ready")
-	old.line("the new process is ready")
-	l.stop.Store(true) // what a killed process has taken is lost with it; that is not for the old one to answer
-	l.wg.Wait()
-	late.end(syscall.SIGKILL)
-	old.line("the new process has gone")
-	l = s.load(4)
-	l.calls(100)
-	l.end(t)
-	if got := old.ask("ready"); got != "SUCCESS\n" {
+// If a new process dies before or after it has reported that it is ready, the old one goes on serving, and the next new process can
+// take over.
+func TestOldProcessServesWhenNewProcessDies(t *testing.T) {
+	env := newEnvironment(t)
+	old := env.start()
+	old.waitForLog("ready")
+	l := env.load(4)
+	l.waitForCalls(50)
+	early := env.start() // it may have the old process's listening socket, but has perhaps not reported that it is ready
+	early.signalAndWait(syscall.SIGKILL)
+	old.waitForLog("the new process has gone")
+	late := env.start()
+	late.waitForLog("ready")
+	old.waitForLog("the new process is ready")
+	l.stop.Store(true) // calls that a killed process has accepted are lost with it; the old process can't answer them
+	l.clients.Wait()
+	late.signalAndWait(syscall.SIGKILL)
+	old.waitForLog("the new process has gone")
+	l = env.load(4)
+	l.waitForCalls(100)
+	l.stopAndCheck(t)
+	if got := old.operatorCall("ready"); got != "SUCCESS\n" {
 		t.Error(got)
 	}
-	next := s.start()
-	next.line("taking over from a process that serves")
-	next.line("ready")
-	old.line("the new process is ready")
-	old.end(syscall.SIGTERM)
-	l = s.load(2)
-	l.calls(50)
-	l.end(t)
+	next := env.start()
+	next.waitForLog("taking over from a process that serves")
+	next.waitForLog("ready")
+	old.waitForLog("the new process is ready")
+	old.signalAndWait(syscall.SIGTERM)
+	l = env.load(2)
+	l.waitForCalls(50)
+	l.stopAndCheck(t)
 }
 
-// An old process that is killed leaves the address and the bans to the new one. One that finds only the file, or a file
-// that is of no use, starts plainly.
-func TestOldProcessDies(t *testing.T) {
-	s := newStage(t)
-	old := s.start()
-	old.line("ready")
-	old.ask("disable-server s-00000001")
-	next := s.start()
-	next.line("ready")
-	old.end(syscall.SIGKILL)
-	next.line("the old process has ended")
-	l := s.load(4)
-	l.calls(100)
-	l.end(t)
-	if s.served[1].Load() != 0 {
-		t.Error("a worker left out by hand is sent to")
-	}
-	next.end(syscall.SIGKILL)
-	again := s.start()
-	again.line("state of a former process is taken")
-	again.line("ready")
-	if got := again.ask("show-stat"); !strings.Contains(got, "svc.pool_ejected:1|g\n") {
-		t.Errorf("figures %s", got)
-	}
-	again.end(syscall.SIGTERM)
-	if err := os.WriteFile(filepath.Join(s.dir, "quillrail-state.json"), []byte(`{"version":1,"na`), 0o600); err != nil {
+// If the old process is killed, the new one takes over the address and the bans. A process that finds no other one loads the bans from
+// the state file, or starts without bans if the file is unusable.
+func TestNewProcessServesWhenOldProcessDies(t *testing.T) {
+	env := newEnvironment(t)
+	old := env.start()
+	old.waitForLog("ready")
+	old.operatorCall("disable-server s-00000001")
+	next := env.start()
+	next.waitForLog("ready")
+	old.signalAndWait(syscall.SIGKILL)
+	next.waitForLog("the old process has ended")
+	l := env.load(4)
+	l.waitForCalls(100)
+	l.stopAndCheck(t)
+	if env.callsByWorker[1].Load() != 0 {
+		t.Error("a banned worker got calls")
+	}
+	next.signalAndWait(syscall.SIGKILL)
+	again := env.start()
+	again.waitForLog("state of a former process is taken")
+	again.waitForLog("ready")
+	if got := again.operatorCall("show-stat"); !strings.Contains(got, "svc.pool_ejected:1|g\n") {
+		t.Errorf("show-stat: %s", got)
+	}
+	again.signalAndWait(syscall.SIGTERM)
+	if err := os.WriteFile(filepath.Join(env.dir, "quillrail-state.json"), []byte(`{"version":1,"na`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	plain := s.start()
-	plain.line("state of a former process is not used")
-	plain.line("ready")
-	if got := plain.ask("show-stat"); !strings.Contains(got, "svc.pool_ejected:0|g\n") {
-		t.Errorf("figures %s", got)
+	plain := env.start()
+	plain.waitForLog("state of a former process is not used")
+	plain.waitForLog("ready")
+	if got := plain.operatorCall("show-stat"); !strings.Contains(got, "svc.pool_ejected:0|g\n") {
+		t.Errorf("show-stat: %s", got)
 	}
-	plain.end(syscall.SIGTERM)
+	plain.signalAndWait(syscall.SIGTERM)
 }
 
-// TestMeasureUpgrades counts the calls that are lost by the two ways for a new version to get at the clients' address:
-// the socket handed on, and a socket of its own beside the old one's (SO_REUSEPORT). It is a measurement, made by hand:
+// TestMeasureUpgrades counts the calls that are lost with each of two ways for a new process to listen on the clients' address: it
+// gets the old process's socket, or opens a socket of its own next to it (SO_REUSEPORT). It is a measurement to be run by hand:
 // QUILLRAIL_MEASURE=10 go test -run MeasureUpgrades -v ./internal/app
 func TestMeasureUpgrades(t *testing.T) {
 	rounds := 0
 	if fmt.Sscan(os.Getenv("QUILLRAIL_MEASURE"), &rounds); rounds == 0 {
-		t.Skip("a measurement")
-	}
-	for _, way := range []string{"handed on", "SO_REUSEPORT"} {
-		s := newStage(t)
-		old := s.start()
-		old.line("ready")
-		l := s.load(32)
-		l.calls(1000)
+		t.Skip("a measurement, run with QUILLRAIL_MEASURE set")
+	}
+	for _, method := range []string{"handed over", "SO_REUSEPORT"} {
+		env := newEnvironment(t)
+		old := env.start()
+		old.waitForLog("ready")
+		l := env.load(32)
+		l.waitForCalls(1000)
 		for range rounds {
-			dir := s.dir
-			if way == "SO_REUSEPORT" {
+			dir := env.dir
+			if method == "SO_REUSEPORT" {
 				dir = t.TempDir()
 			}
-			next := s.startIn(dir)
-			next.line("ready")
-			if dir == s.dir {
-				old.line("the new process is ready")
+			next := env.startIn(dir)
+			next.waitForLog("ready")
+			if dir == env.dir {
+				old.waitForLog("the new process is ready")
 			}
-			l.calls(500)
-			old.end(syscall.SIGTERM)
-			l.calls(500)
+			l.waitForCalls(500)
+			old.signalAndWait(syscall.SIGTERM)
+			l.waitForCalls(500)
 			old = next
 		}
 		l.stop.Store(true)
-		l.wg.Wait()
-		old.end(syscall.SIGTERM)
-		t.Logf("%s: %d upgrades, %d calls, %d lost", way, rounds, l.done.Load(), len(l.faults))
+		l.clients.Wait()
+		old.signalAndWait(syscall.SIGTERM)
+		t.Logf("%s: %d upgrades, %d calls, %d lost", method, rounds, l.answered.Load(), len(l.failures))
 	}
 }
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -6,54 +6,54 @@
 	"quillrail/decide"
 )
 
-// Call is one request as a front has read it. Its indices and its function have been checked.
+// Call is one client request as a front has parsed it. Its indices and its function have been validated.
 type Call struct {
-	ID            string // as the client wrote it, passed on unchanged
+	ID            string // as the client sent it, passed on unchanged
 	Class, Tenant int
 	ClassName     string
 	Function      string
-	Key           string // idempotency key, empty where the class has none
-	Wait          time.Duration
-	Came          time.Duration // when it had come whole, on the loop's clock; 0 for the turn that takes it
-	Work          time.Duration // hints, 0 where not told
+	Key           string        // idempotency key, empty where the class has none
+	Wait          time.Duration // how long the client waits for the answer
+	Received      time.Duration // when the call was received whole, on the loop's clock; 0 for the iteration that submits it
+	Work          time.Duration // hints of the client, 0 where not given
 	MemoryMB      float64
 	Lanes         int
 	LoadTime      time.Duration
-	Repeat        bool
-	Zones         []int // where alone it may run; none for anywhere
+	Repeat        bool  // the client marks the call as a retry
+	Zones         []int // the only zones in which it may run; empty for any
 	Body          []byte
 	Reply         Reply
 }
 
-// deadline is when the caller of a call that is taken now waits no longer. Its time runs from when the call had come whole, also
-// while that waits for the turn.
+// deadline returns the time until which the client waits, for a call that is submitted now. The wait counts from when the call was
+// received whole, so that it includes the time that the call spent in the queue of the event loop.
 func (c *Call) deadline(now time.Duration) time.Duration {
-	if c.Came <= 0 {
+	if c.Received <= 0 {
 		return now + c.Wait
 	}
-	return min(c.Came, now) + c.Wait
+	return min(c.Received, now) + c.Wait
 }
 
-// Reply takes the one final answer of a Call. It is called on the turn.
+// Reply receives the one final answer of a Call. Its methods are called on the event loop.
 type Reply interface {
 	Served(body []byte)
-	// Refused says that trying again is harmless; why is the reason where there is one beside the load, else "".
-	Refused(pause time.Duration, why string)
-	Failed(why Failure)
-	// Left reports whether the caller is known to wait no longer. It may be true before the core has been told so by Gone,
-	// since the I/O goroutine notes it as soon as it sees it.
-	Left() bool
+	// Refused means that the call did not run and may safely be sent again after retryAfter. reason is a reason other than load, else "".
+	Refused(retryAfter time.Duration, reason string)
+	Failed(failure Failure)
+	// ClientGone reports whether the client is known to have stopped waiting. It may be true before Core.ClientGone is called,
+	// because the I/O goroutine records a disconnect as soon as it sees one.
+	ClientGone() bool
 }
 
-// Failure tells a front how to word an answer that promises nothing.
+// Failure is the reason of an answer after which the call may or may not have run. A front chooses its wording by it.
 type Failure int
 
 // The failures.
 const (
-	Broken Failure = iota // the module gave up
+	GivenUp Failure = iota // the module gave the request up
 	TimedOut
 	Overloaded // the tables are full
-	Duplicate  // a request with this id is open
+	Duplicate  // a request with this ID is in flight
 )
 
 // Attempt is one sending of a Call to a worker.
@@ -64,59 +64,60 @@
 	Deadline time.Duration // on the loop's clock, when the gateway stops waiting
 }
 
-// Budget is how long the gateway still waits for the attempt, by the clock as it is written and not as it was decided. It is
-// below a millisecond where there is no time left to write it.
+// Budget returns how long the gateway still waits for the attempt, counted from the time of writing and not from the time of the
+// decision. It is below a millisecond where there is no time left to write the attempt.
 func (a Attempt) Budget(loop *Loop) time.Duration { return a.Deadline - max(loop.Now(), loop.Clock()) }
 
-// Workers is the link to the workers. Its methods are called on the turn; ends come back through
-// Core.Ended, Loaded and Probed, also from within a call: the core queues them until the module has returned.
+// Workers is the link to the workers. Its methods are called on the event loop. Results come back through Core.Ended, Loaded and
+// Probed, possibly from within a call of these methods: the core queues them until the module has returned.
 type Workers interface {
 	Send(a Attempt)
-	Cancel(host string, attempt Ref) // the attempt is given up: nothing more is said of it
-	// Unsend takes an attempt back that has not been written yet, and reports whether it could. Its end is the core's to tell.
-	Unsend(host string, attempt Ref) bool
-	// Withdraw takes back all attempts and orders that have not been written yet to workers that may get nothing new.
-	Withdraw(mayGet func(host string) bool)
+	Cancel(host string, attempt Ref) // abandons the attempt: the link reports nothing more about it
+	// WithdrawAttempt removes an attempt that has not been written yet, and reports whether it could. The link doesn't report the
+	// attempt's result then; the core does that itself.
+	WithdrawAttempt(host string, attempt Ref) bool
+	// WithdrawUnwritten removes all attempts and orders that have not been written yet to workers that mayGet excludes.
+	WithdrawUnwritten(mayGet func(host string) bool)
 	Load(order Ref, host, function string, copies int)
 	Probe(probe Ref, host string)
-	Forget(host string, order Ref) // nobody waits for the order or probe any more; an order stands
+	Forget(host string, order Ref) // the core no longer waits for the order or probe; the worker still carries out an order
 	Unload(host, function string)
 	Release(host string)
-	List(whole bool, members []Member)
+	ApplyList(complete bool, members []Member)
 }
 
-// End is how an attempt has ended.
-type End struct {
-	How    decide.Outcome
-	Note   decide.Note
-	Body   []byte         // of an answer that is Good
-	Report *decide.Report // the worker's load, nil if it was not told
+// AttemptResult is how an attempt has ended.
+type AttemptResult struct {
+	Outcome decide.Outcome
+	Note    decide.Note
+	Body    []byte         // of an answer that is Good
+	Report  *decide.Report // the worker's load report, nil if the answer had none
 }
 
-// Ends takes the ends of attempts and orders: Core does.
-type Ends interface {
-	Ended(attempt Ref, e End)
-	Loaded(order Ref, how decide.Outcome, copies int)
-	Probed(probe Ref, how decide.Outcome, report *decide.Report)
-	Wrote(attempts int) // so many were written whole
+// ResultHandler receives the results of attempts, load orders and probes. Core implements it.
+type ResultHandler interface {
+	Ended(attempt Ref, result AttemptResult)
+	Loaded(order Ref, outcome decide.Outcome, copies int)
+	Probed(probe Ref, outcome decide.Outcome, report *decide.Report)
+	Wrote(attempts int) // the number of attempts that were just written whole
 }
 
-// Member is an entry of the list of workers and where it listens.
+// Member is an entry of the worker list with the address at which the worker listens.
 type Member struct {
 	decide.Host
 	Addr string
 }
 
-// Record is what is known of a request when it has its final answer.
+// Record describes a request that has ended.
 type Record struct {
 	Call     *Call
-	Bytes    int // of the call's body
+	Bytes    int // size of the call's body
 	Start    time.Duration
 	End      time.Duration
 	Answer   string // served, refused, failed, gone
 	Attempts int
-	Host     string // of the attempt that was served, else of the last
+	Host     string // of the attempt that was served, else of the last attempt
 }
 
-// Observer is told of every request that ends, on the turn. It must not block.
+// Observer is called for every request that ends, on the event loop. It must not block.
 type Observer func(Record)
--- a/internal/core/clock_test.go
+++ b/internal/core/clock_test.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// A step of the system's clock moves no deadline: what passes on the steady clock is what passes on a stopwatch, within a part
-// of it, and the clock comes back to the system's in the end. It never goes back.
+// A step of the system's clock must not move deadlines: 4 s on the monotonic clock are 4 s on the steady clock, within
+// 1/slewDivisor. The steady clock agrees with the wall clock again in the end and never runs backwards.
 func TestSteadyClockDoesNotStep(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour, 300 * time.Millisecond, -2 * time.Second} {
-		at := Reading{Unix: 1000 * time.Hour, Steady: time.Minute}
+		at := Reading{Unix: 1000 * time.Hour, Monotonic: time.Minute}
 		clock := NewSteadyClock(func() Reading { return at })
 		if clock.Now() != at.Unix {
-			t.Fatalf("begins at %v", clock.Now())
+			t.Fatalf("the clock starts at %v", clock.Now())
 		}
 		at.Unix += step
 		before := clock.Now()
-		at.Unix, at.Steady = at.Unix+4*time.Second, at.Steady+4*time.Second
-		if passed := clock.Now() - before; passed < 4*time.Second*(slewPart-1)/slewPart || passed > 4*time.Second*(slewPart+1)/slewPart {
-			t.Errorf("step of %v: 4 s pass as %v", step, passed)
+		at.Unix, at.Monotonic = at.Unix+4*time.Second, at.Monotonic+4*time.Second
+		if passed := clock.Now() - before; passed < 4*time.Second*(slewDivisor-1)/slewDivisor ||
+			passed > 4*time.Second*(slewDivisor+1)/slewDivisor {
+			t.Errorf("step of %v: 4 s are measured as %v", step, passed)
 		}
-		at.Unix, at.Steady = at.Unix+100*time.Hour, at.Steady+100*time.Hour
+		at.Unix, at.Monotonic = at.Unix+100*time.Hour, at.Monotonic+100*time.Hour
 		if clock.Now() != at.Unix {
-			t.Errorf("step of %v: still %v off after 100 h", step, clock.Now()-at.Unix)
+			t.Errorf("step of %v: %v off the wall clock after 100 h", step, clock.Now()-at.Unix)
 		}
 		now := clock.Now()
-		at.Steady -= time.Second // as two goroutines that read out of turn
+		at.Monotonic -= time.Second // as when two goroutines read out of order
 		if clock.Now() < now {
-			t.Error("the clock goes back")
+			t.Error("the clock ran backwards")
 		}
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	maxRequests = 8192                   // open at once; further ones are refused
-	maxOrders   = 1024                   // orders to load that wait for their end
-	backstop    = 12 * time.Millisecond  // past its deadline, a request that the module left open is failed
-	probeLimit  = 250 * time.Millisecond // a probe that is not answered by then has failed
+	maxRequests  = 8192                   // in flight at once; further ones are refused
+	maxOrders    = 1024                   // load orders and probes that wait for their result
+	overdueGrace = 12 * time.Millisecond  // after its deadline, until a request that the module has not answered is failed
+	probeTimeout = 250 * time.Millisecond // a probe without an answer by then has failed
 )
 
-// Core carries out what the module decides. It owns the tables of requests, attempts and orders.
+// Core carries out the decisions of the module (package decide). It owns the tables of requests, attempts and orders.
 type Core struct {
-	loop     *Loop
-	log      *zap.Logger
-	router   *decide.Router
-	workers  Workers
-	observe  Observer
-	maxPause time.Duration
-	timeout  time.Duration // of orders
-
-	requests *Table[*request]
-	ids      map[string]Ref // of the open requests, as the clients wrote them
-	attempts *Table[*attempt]
-	orders   *Table[*order] // and probes, which name no function
-	roster   *roster.Roster
-	counts   []Counts
-	tries    uint64
-	trace    Trace
-
-	queue  []decide.Event // events raised while the module handles one
-	inside bool
+	loop          *Loop
+	log           *zap.Logger
+	router        *decide.Router
+	workers       Workers
+	observe       Observer
+	maxRetryAfter time.Duration
+	orderTimeout  time.Duration // of load orders
+
+	requests        *Table[*request]
+	refsByID        map[string]Ref // requests in flight, by the ID that the client sent
+	attempts        *Table[*attempt]
+	orders          *Table[*order] // load orders, and probes, which have no function
+	roster          *roster.Roster
+	counts          []Counts
+	attemptsWritten uint64
+	outcomes        OutcomeCounts
+
+	queue    []decide.Event // events raised while the module handles another one
+	handling bool           // an event is being handled
 }
 
 type request struct {
@@ -44,81 +44,81 @@
 	call     Call
 	start    time.Duration
 	deadline time.Duration
-	over     *Deadline
-	shots    []Ref // attempts by number
-	last     string
+	timer    *Deadline
+	attempts []Ref // by number
+	lastHost string
 }
 
 type attempt struct {
-	ref  Ref
-	req  Ref
-	shot int
-	host string
-	at   time.Duration
-	over *Deadline
+	ref       Ref
+	request   Ref
+	number    int
+	host      string
+	startedAt time.Duration
+	timer     *Deadline
 }
 
 type order struct {
 	host, function string
-	at             time.Duration
-	over           *Deadline
-	done           func(good bool) // of a probe that the module has not asked for
-}
-
-// New returns a Core on loop. observe may be nil.
-func New(loop *Loop, set decide.Settings, seed uint64, workers Workers, observe Observer, log *zap.Logger) (*Core, error) {
-	c := &Core{loop: loop, log: log, workers: workers, observe: observe, maxPause: set.MaxRetryAfter,
-		timeout: set.OrderTimeout, requests: NewTable[*request](maxRequests), ids: map[string]Ref{},
-		attempts: NewTable[*attempt](maxRequests * max(1, set.MaxAttempts)), orders: NewTable[*order](maxOrders), roster: roster.New(),
-		counts: make([]Counts, len(set.Classes))}
-	c.inside = true
+	sentAt         time.Duration
+	timer          *Deadline
+	done           func(good bool) // set for a probe that the module did not request
+}
+
+// New returns a Core that runs on loop. observe may be nil.
+func New(loop *Loop, settings decide.Settings, seed uint64, workers Workers, observe Observer, log *zap.Logger) (*Core, error) {
+	c := &Core{loop: loop, log: log, workers: workers, observe: observe, maxRetryAfter: settings.MaxRetryAfter,
+		orderTimeout: settings.OrderTimeout, requests: NewTable[*request](maxRequests), refsByID: map[string]Ref{},
+		attempts: NewTable[*attempt](maxRequests * max(1, settings.MaxAttempts)), orders: NewTable[*order](maxOrders),
+		roster: roster.New(), counts: make([]Counts, len(settings.Classes))}
+	c.handling = true
 	var err error
-	c.router, err = decide.New(set, seed, (*gateway)(c))
-	c.inside = false
+	c.router, err = decide.New(settings, seed, (*gateway)(c))
+	c.handling = false
 	return c, err
 }
 
-// handle feeds the module one event, and then those that carrying out its decisions has raised.
-func (c *Core) handle(ev decide.Event) {
-	c.queue = append(c.queue, ev)
-	if c.inside {
+// handle passes an event to the module, and then the events that were raised while its decisions were carried out.
+func (c *Core) handle(event decide.Event) {
+	c.queue = append(c.queue, event)
+	if c.handling {
 		return
 	}
-	c.inside = true
+	c.handling = true
 	for i := 0; i < len(c.queue); i++ {
 		c.router.Handle(c.loop.Now(), c.queue[i])
 	}
 	clear(c.queue)
-	c.queue, c.inside = c.queue[:0], false
+	c.queue, c.handling = c.queue[:0], false
 }
 
-// Open is the number of requests that have no final answer yet.
-func (c *Core) Open() int { return c.requests.Len() }
+// InFlight returns the number of requests that have no final answer yet.
+func (c *Core) InFlight() int { return c.requests.Len() }
 
-// List passes on what the bulletin says of the workers, to the module as the bans have it.
-func (c *Core) List(whole bool, members []Member) {
-	c.workers.List(whole, members)
+// ApplyList passes an update of the worker list to the link, and to the module with operators' bans applied.
+func (c *Core) ApplyList(complete bool, members []Member) {
+	c.workers.ApplyList(complete, members)
 	hosts := make([]decide.Host, len(members))
 	for i, m := range members {
 		hosts[i] = m.Host
 	}
-	c.change(c.roster.List(whole, hosts))
+	c.applyChange(c.roster.List(complete, hosts))
 }
 
-// change tells the module of workers that have changed. What is still unwritten to those that may get nothing new is taken
-// back afterwards, so that the module doesn't choose them again for it.
-func (c *Core) change(ev decide.List) {
-	if len(ev.Hosts) == 0 && !ev.Whole {
+// applyChange passes changed workers to the module. Only then does it withdraw what has not been written yet to workers that may
+// get nothing new, so that the module doesn't choose the same workers for it again.
+func (c *Core) applyChange(change decide.List) {
+	if len(change.Hosts) == 0 && !change.Whole {
 		return
 	}
-	c.handle(ev)
-	c.workers.Withdraw(c.roster.Usable)
+	c.handle(change)
+	c.workers.WithdrawUnwritten(c.roster.Usable)
 }
 
-// Take takes in a request. The Ref it returns is zero when the request was answered at once.
-func (c *Core) Take(call Call) Ref {
+// Submit starts a request. It returns a zero Ref if the request was answered at once.
+func (c *Core) Submit(call Call) Ref {
 	r := &request{call: call, start: c.loop.Now(), deadline: call.deadline(c.loop.Now())}
-	if _, open := c.ids[call.ID]; open { // two would be one to the workers, and each take the other's answer
+	if _, open := c.refsByID[call.ID]; open { // workers could not tell the two apart, and their answers would be mixed up
 		c.Count(call.Class, "failed")
 		call.Reply.Failed(Duplicate)
 		return 0
@@ -129,8 +129,8 @@
 		call.Reply.Refused(0, "")
 		return 0
 	}
-	r.ref, c.ids[call.ID] = ref, ref
-	r.over = c.loop.Set(r.deadline+backstop, func() { c.expire(r) })
+	r.ref, c.refsByID[call.ID] = ref, ref
+	r.timer = c.loop.Set(r.deadline+overdueGrace, func() { c.expire(r) })
 	c.handle(decide.Arrival{ID: uint64(ref), Class: call.Class, Tenant: call.Tenant, Function: call.Function,
 		TTL: r.deadline - c.loop.Now(), Work: call.Work, MemoryMB: call.MemoryMB, Lanes: call.Lanes, LoadTime: call.LoadTime,
 		Repeat: call.Repeat, Zones: call.Zones})
@@ -140,108 +140,110 @@
 	return ref
 }
 
-// Gone says that nobody waits for a request any more.
-func (c *Core) Gone(ref Ref) {
+// ClientGone ends a request whose client has stopped waiting.
+func (c *Core) ClientGone(ref Ref) {
 	if r, ok := c.requests.Get(ref); ok {
-		c.end(r, "gone")
+		c.abort(r, "gone")
 	}
 }
 
-// end closes a request that the module has not answered, tells it so and takes back what has not left.
-func (c *Core) end(r *request, answer string) {
+// abort closes a request that the module has not answered, notifies the module and withdraws the unwritten attempts.
+func (c *Core) abort(r *request, answer string) {
 	c.close(r, answer)
 	if answer != "gone" {
 		r.call.Reply.Failed(TimedOut)
 	}
 	c.handle(decide.ClientGone{ID: uint64(r.ref)})
-	c.unsend(r)
+	c.withdrawUnwritten(r)
 }
 
-// unsend takes back the attempts of an ended request that have not been written yet, also where the site has no cancelling.
-func (c *Core) unsend(r *request) {
-	for _, ref := range r.shots {
-		if a, out := c.attempts.Get(ref); out && c.workers.Unsend(a.host, ref) {
-			c.Ended(ref, End{How: decide.Nop})
+// withdrawUnwritten withdraws the attempts of an ended request that have not been written yet. It does so also at sites
+// without cancelling, where attempts that have been written run on.
+func (c *Core) withdrawUnwritten(r *request) {
+	for _, ref := range r.attempts {
+		if a, pending := c.attempts.Get(ref); pending && c.workers.WithdrawAttempt(a.host, ref) {
+			c.Ended(ref, AttemptResult{Outcome: decide.Nop})
 		}
 	}
 }
 
-// expire is the last guard on the rule that each request has its answer in time.
+// expire fails a request that the module has not answered in time. It is the last safeguard for the rule that every request gets an
+// answer in time.
 func (c *Core) expire(r *request) {
-	c.log.Error("request left open past its deadline", zap.String("id", r.call.ID), zap.Int("attempts", len(r.shots)))
-	c.end(r, "failed")
+	c.log.Error("request left open past its deadline", zap.String("id", r.call.ID), zap.Int("attempts", len(r.attempts)))
+	c.abort(r, "failed")
 }
 
-// FailAll gives every open request its final answer, before the process ends.
+// FailAll fails every request in flight, before the process ends.
 func (c *Core) FailAll() {
-	c.requests.Each(func(_ Ref, r *request) { c.end(r, "failed") })
+	c.requests.Each(func(_ Ref, r *request) { c.abort(r, "failed") })
 }
 
 func (c *Core) close(r *request, answer string) {
-	c.loop.Cancel(r.over)
+	c.loop.Cancel(r.timer)
 	c.requests.Free(r.ref)
-	delete(c.ids, r.call.ID)
+	delete(c.refsByID, r.call.ID)
 	c.Count(r.call.Class, answer)
 	if c.observe != nil {
-		c.observe(Record{Call: &r.call, Bytes: len(r.call.Body), Start: r.start, End: c.loop.Now(), Answer: answer, Attempts: len(r.shots),
-			Host: r.last})
+		c.observe(Record{Call: &r.call, Bytes: len(r.call.Body), Start: r.start, End: c.loop.Now(), Answer: answer,
+			Attempts: len(r.attempts), Host: r.lastHost})
 	}
 }
 
-// Ended says how an attempt has ended. A second end, or one after the attempt was given up, finds no slot
-// and is dropped.
-func (c *Core) Ended(ref Ref, e End) {
+// Ended handles the result of an attempt. A second result, or one that comes after the attempt was abandoned, finds no slot and is
+// dropped.
+func (c *Core) Ended(ref Ref, result AttemptResult) {
 	a, ok := c.attempts.Get(ref)
 	if !ok {
 		return
 	}
-	c.loop.Cancel(a.over)
+	c.loop.Cancel(a.timer)
 	c.attempts.Free(ref)
-	r, open := c.requests.Get(a.req)
-	served := open && e.How == decide.Good
+	r, open := c.requests.Get(a.request)
+	served := open && result.Outcome == decide.Good
 	if served {
-		r.last = a.host
+		r.lastHost = a.host
 		c.close(r, "served")
-		r.call.Reply.Served(e.Body)
+		r.call.Reply.Served(result.Body)
 		open = false
 	}
-	c.attempted(r, a, e)
-	c.handle(decide.Result{ID: uint64(a.req), Shot: a.shot, Host: a.host, Outcome: e.How,
-		Took: c.loop.Now() - a.at, Final: !open, Note: e.Note, Crowd: -1, Report: e.Report})
+	c.traceAttempt(r, a, result)
+	c.handle(decide.Result{ID: uint64(a.request), Shot: a.number, Host: a.host, Outcome: result.Outcome,
+		Took: c.loop.Now() - a.startedAt, Final: !open, Note: result.Note, Crowd: -1, Report: result.Report})
 	if served {
-		c.unsend(r)
+		c.withdrawUnwritten(r)
 	}
 }
 
-// takeOrder ends an order or a probe; nil if it has ended before.
-func (c *Core) takeOrder(ref Ref) *order {
+// finishOrder removes and returns an order or a probe, or returns nil if it has ended before.
+func (c *Core) finishOrder(ref Ref) *order {
 	o, ok := c.orders.Get(ref)
 	if !ok {
 		return nil
 	}
-	c.loop.Cancel(o.over)
+	c.loop.Cancel(o.timer)
 	c.orders.Free(ref)
 	return o
 }
 
-// Loaded says how an order to load has ended.
-func (c *Core) Loaded(ref Ref, how decide.Outcome, copies int) {
-	o := c.takeOrder(ref)
+// Loaded handles the result of a load order.
+func (c *Core) Loaded(ref Ref, outcome decide.Outcome, copies int) {
+	o := c.finishOrder(ref)
 	if o == nil {
 		return
 	}
-	c.handle(decide.Loaded{Host: o.host, Function: o.function, Outcome: how, Took: c.loop.Now() - o.at, Copies: copies})
+	c.handle(decide.Loaded{Host: o.host, Function: o.function, Outcome: outcome, Took: c.loop.Now() - o.sentAt, Copies: copies})
 }
 
-// Probed says how a probe has ended.
-func (c *Core) Probed(ref Ref, how decide.Outcome, report *decide.Report) {
-	o := c.takeOrder(ref)
+// Probed handles the result of a probe.
+func (c *Core) Probed(ref Ref, outcome decide.Outcome, report *decide.Report) {
+	o := c.finishOrder(ref)
 	if o == nil {
 		return
 	}
 	if o.done != nil {
-		o.done(how == decide.Good)
+		o.done(outcome == decide.Good)
 		return
 	}
-	c.handle(decide.Probed{Host: o.host, Outcome: how, Took: c.loop.Now() - o.at, Report: report})
+	c.handle(decide.Probed{Host: o.host, Outcome: outcome, Took: c.loop.Now() - o.sentAt, Report: report})
 }
--- a/internal/core/deadlines.go
+++ b/internal/core/deadlines.go
@@ -9,50 +9,50 @@
 type Deadline struct {
 	at    time.Duration
 	seq   uint64
-	index int // place in the order; -1 once it has run or was cancelled
+	index int // position in the heap; -1 once it has run or was cancelled
 	run   func()
 }
 
-// Deadlines is the one ordered structure that holds every deadline of the process: attempts, connects, idle
-// connections, timers of the module. Equal times keep the order in which they were set.
+// Deadlines is a priority queue of all deadlines of the process: of attempts, connects, idle connections and the module's
+// timers. Deadlines at equal times run in the order in which they were set.
 type Deadlines struct {
-	order byTime
+	queue byTime
 	seq   uint64
 }
 
-// Set adds a deadline that calls run when it is swept.
+// Set adds a deadline. RunDue calls run once the deadline is due.
 func (d *Deadlines) Set(at time.Duration, run func()) *Deadline {
 	d.seq++
 	e := &Deadline{at: at, seq: d.seq, run: run}
-	heap.Push(&d.order, e)
+	heap.Push(&d.queue, e)
 	return e
 }
 
-// Cancel takes a deadline out. One that is nil, has run, or was cancelled before is left alone.
+// Cancel removes a deadline. It does nothing for one that is nil, has run or was cancelled before.
 func (d *Deadlines) Cancel(e *Deadline) {
 	if e != nil && e.index >= 0 {
-		heap.Remove(&d.order, e.index)
+		heap.Remove(&d.queue, e.index)
 	}
 }
 
-// Sweep runs what is due at now, in order. What is set meanwhile waits for the next sweep, so that a deadline
-// that sets itself again cannot keep the turn.
-func (d *Deadlines) Sweep(now time.Duration) {
-	for last := d.seq; len(d.order) > 0 && d.order[0].at <= now && d.order[0].seq <= last; {
-		heap.Pop(&d.order).(*Deadline).run()
+// RunDue runs the deadlines that are due at now, in order. Deadlines set meanwhile wait for the next call, so that one that sets
+// itself again cannot block the event loop.
+func (d *Deadlines) RunDue(now time.Duration) {
+	for last := d.seq; len(d.queue) > 0 && d.queue[0].at <= now && d.queue[0].seq <= last; {
+		heap.Pop(&d.queue).(*Deadline).run()
 	}
 }
 
-// Next is the earliest deadline; false when there is none.
+// Next returns the time of the earliest deadline, and false if there is none.
 func (d *Deadlines) Next() (time.Duration, bool) {
-	if len(d.order) == 0 {
+	if len(d.queue) == 0 {
 		return 0, false
 	}
-	return d.order[0].at, true
+	return d.queue[0].at, true
 }
 
-// Len is the number of deadlines that wait.
-func (d *Deadlines) Len() int { return len(d.order) }
+// Len returns the number of pending deadlines.
+func (d *Deadlines) Len() int { return len(d.queue) }
 
 type byTime []*Deadline
 
@@ -78,5 +78,5 @@
 	return e
 }
 
-// Before reports whether e is due before o.
-func (e *Deadline) Before(o *Deadline) bool { return e.at < o.at }
+// Before reports whether e is due before other.
+func (e *Deadline) Before(other *Deadline) bool { return e.at < other.at }
--- a/internal/core/gateway.go
+++ b/internal/core/gateway.go
@@ -8,96 +8,96 @@
 	"quillrail/decide"
 )
 
-// gateway is the side of Core that the module sees.
+// gateway is the Core as the module sees it: its methods carry out the module's decisions.
 type gateway Core
 
 func (g *gateway) Route(id uint64, host string, expireAt time.Duration) {
 	c := (*Core)(g)
 	r, open := c.requests.Get(Ref(id))
-	if !open { // the module is told that nothing was sent
+	if !open { // tell the module that nothing was sent
 		c.handle(decide.Result{ID: id, Host: host, Outcome: decide.Nop, Final: true, Crowd: -1})
 		return
 	}
-	if r.call.Reply.Left() {
-		shot := len(r.shots)
-		r.shots = append(r.shots, 0)
-		c.Gone(r.ref)
-		c.handle(decide.Result{ID: id, Shot: shot, Host: host, Outcome: decide.Nop, Final: true, Crowd: -1})
+	if r.call.Reply.ClientGone() {
+		number := len(r.attempts)
+		r.attempts = append(r.attempts, 0)
+		c.ClientGone(r.ref)
+		c.handle(decide.Result{ID: id, Shot: number, Host: host, Outcome: decide.Nop, Final: true, Crowd: -1})
 		return
 	}
 	if expireAt <= 0 || expireAt > r.deadline {
 		expireAt = r.deadline
 	}
-	a := &attempt{req: r.ref, shot: len(r.shots), host: host, at: c.loop.Now()}
+	a := &attempt{request: r.ref, number: len(r.attempts), host: host, startedAt: c.loop.Now()}
 	ref, ok := c.attempts.Put(a)
-	r.shots, r.last = append(r.shots, ref), host
+	r.attempts, r.lastHost = append(r.attempts, ref), host
 	if !ok || expireAt <= c.loop.Now() {
 		c.attempts.Free(ref)
-		c.handle(decide.Result{ID: id, Shot: a.shot, Host: host, Outcome: decide.Nop, Crowd: -1})
+		c.handle(decide.Result{ID: id, Shot: a.number, Host: host, Outcome: decide.Nop, Crowd: -1})
 		return
 	}
 	a.ref = ref
-	a.over = c.loop.Set(expireAt, func() { c.giveUp(a, decide.Late) })
+	a.timer = c.loop.Set(expireAt, func() { c.abandon(a, decide.Late) })
 	c.workers.Send(Attempt{Ref: ref, Host: host, Call: &r.call, Deadline: expireAt})
 }
 
-func (c *Core) giveUp(a *attempt, how decide.Outcome) {
+func (c *Core) abandon(a *attempt, outcome decide.Outcome) {
 	c.workers.Cancel(a.host, a.ref)
-	c.Ended(a.ref, End{How: how})
+	c.Ended(a.ref, AttemptResult{Outcome: outcome})
 }
 
-func (g *gateway) Retract(id uint64, shot int) {
+func (g *gateway) Retract(id uint64, number int) {
 	c := (*Core)(g)
 	var found *attempt
 	if r, ok := c.requests.Get(Ref(id)); ok {
-		if shot >= 0 && shot < len(r.shots) {
-			found, _ = c.attempts.Get(r.shots[shot])
+		if number >= 0 && number < len(r.attempts) {
+			found, _ = c.attempts.Get(r.attempts[number])
 		}
-	} else { // the request has ended: its attempts are few, and this is off the common path
+	} else { // the request has ended, which is rare here: search all attempts for the one that it left
 		c.attempts.Each(func(_ Ref, a *attempt) {
-			if a.req == Ref(id) && a.shot == shot {
+			if a.request == Ref(id) && a.number == number {
 				found = a
 			}
 		})
 	}
 	if found != nil {
-		c.giveUp(found, decide.Cancelled)
+		c.abandon(found, decide.Cancelled)
 	}
 }
 
-func (g *gateway) Refuse(id uint64, pause time.Duration, why decide.Reason) {
+func (g *gateway) Refuse(id uint64, retryAfter time.Duration, reason decide.Reason) {
 	c := (*Core)(g)
 	if r, ok := c.requests.Get(Ref(id)); ok {
-		c.gaveUp(r, "refused", why)
+		c.traceGivenUp(r, "refused", reason)
 		c.close(r, "refused")
-		r.call.Reply.Refused(min(max(0, pause), c.maxPause), "")
-		c.unsend(r)
+		r.call.Reply.Refused(min(max(0, retryAfter), c.maxRetryAfter), "")
+		c.withdrawUnwritten(r)
 	}
 }
 
-func (g *gateway) Lose(id uint64, why decide.Reason) {
+func (g *gateway) Lose(id uint64, reason decide.Reason) {
 	c := (*Core)(g)
 	if r, ok := c.requests.Get(Ref(id)); ok {
-		c.gaveUp(r, "failed", why)
+		c.traceGivenUp(r, "failed", reason)
 		c.close(r, "failed")
-		failure := Broken
+		failure := GivenUp
 		if c.loop.Now() >= r.deadline {
 			failure = TimedOut
 		}
 		r.call.Reply.Failed(failure)
-		c.unsend(r)
+		c.withdrawUnwritten(r)
 	}
 }
 
 func (g *gateway) Order(host, function string, copies int) {
 	c := (*Core)(g)
-	o := &order{host: host, function: function, at: c.loop.Now()}
+	o := &order{host: host, function: function, sentAt: c.loop.Now()}
 	ref, ok := c.orders.Put(o)
 	if !ok {
 		c.handle(decide.Loaded{Host: host, Function: function, Outcome: decide.Late})
 		return
 	}
-	o.over = c.loop.After(c.timeout, func() {
+	o.timer = c.loop.After(c.orderTimeout, func() {
 		c.workers.Forget(host, ref)
 		c.Loaded(ref, decide.Late, 0)
 	})
@@ -119,21 +119,21 @@
 	}
 }
 
-// Probe asks a worker whether it answers; done is called once, on the turn. It is for others than the module.
+// Probe checks whether a worker answers, for callers other than the module. done is called once, on the event loop.
 func (c *Core) Probe(host string, done func(good bool)) {
 	if !c.probe(host, done) {
 		done(false)
 	}
 }
 
-// probe reports whether there is room to ask.
+// probe sends a probe, and reports false if the table of orders is full.
 func (c *Core) probe(host string, done func(good bool)) bool {
-	o := &order{host: host, at: c.loop.Now(), done: done}
+	o := &order{host: host, sentAt: c.loop.Now(), done: done}
 	ref, ok := c.orders.Put(o)
 	if !ok {
 		return false
 	}
-	o.over = c.loop.After(probeLimit, func() {
+	o.timer = c.loop.After(probeTimeout, func() {
 		c.workers.Forget(host, ref)
 		c.Probed(ref, decide.Late, nil)
 	})
@@ -141,7 +141,8 @@
 	return true
 }
 
-// The site allows no talk among gateways, and the bulletin comes by itself.
+// Tell only logs an error, since the site does not allow the module to message other gateways. Watch and Lookup do nothing, since
+// the bulletin sends its updates unasked.
 func (g *gateway) Tell(peer int, content []byte) {
 	g.log.Error("module would talk to a gateway", zap.Int("peer", peer))
 }
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -2,56 +2,55 @@
 
 import "time"
 
-// Answer is a final answer as it is remembered.
+// Answer is a remembered final answer.
 type Answer struct {
-	What  string // served, refused, failed
-	Body  []byte
-	Pause time.Duration // of a refusal
-	Why   string        // of a failure
+	Kind       string // served, refused, failed
+	Body       []byte
+	RetryAfter time.Duration // of a refusal
+	Reason     string        // of a failure
 }
 
-// Keys remembers what became of calls, by key, so that one that is delivered again gets the same answer and
-// does not run again. What it holds is bounded; when it is full, new keys find no room, and none is forgotten
-// early.
+// Keys remembers the answers of calls by idempotency key, so that a call that is delivered again gets the same answer and does not
+// run again. Its size is bounded: when it is full, new keys are rejected, and no key is forgotten early.
 type Keys struct {
-	loop    *Loop
-	keep    time.Duration // longer than a message may be delivered again
-	entries map[string]*Entry
-	bytes   int
-	limit   int // of entries
-	most    int // of bytes of answers
+	loop       *Loop
+	retention  time.Duration // longer than the time in which a message may be delivered again
+	entries    map[string]*Entry
+	bytes      int
+	maxEntries int // keys at most
+	maxBytes   int // size of all stored answers at most
 }
 
-// Entry is one key. While its call is open, those who ask again wait for the one answer.
+// Entry is one key. While its call is in flight, repeated calls wait for the same answer.
 type Entry struct {
-	What    string // what the key was first used for
+	Target  string // class and function for which the key was first used
 	Done    bool
 	Answer  Answer
 	waiting []func(Answer)
 }
 
-// NewKeys returns a memory that keeps answers for so long.
-func NewKeys(loop *Loop, keep time.Duration, limit, most int) *Keys {
-	return &Keys{loop: loop, keep: keep, entries: map[string]*Entry{}, limit: limit, most: most}
+// NewKeys returns an empty Keys that keeps answers for the time of retention, at most maxEntries keys and maxBytes of answers.
+func NewKeys(loop *Loop, retention time.Duration, maxEntries, maxBytes int) *Keys {
+	return &Keys{loop: loop, retention: retention, entries: map[string]*Entry{}, maxEntries: maxEntries, maxBytes: maxBytes}
 }
 
-// Len is the number of keys that are remembered.
+// Len returns the number of remembered keys.
 func (k *Keys) Len() int { return len(k.entries) }
 
-// Find returns the entry of a key, nil if it is not known.
+// Find returns the entry of a key, or nil if the key is not known.
 func (k *Keys) Find(key string) *Entry { return k.entries[key] }
 
-// Open begins a key that is not known; nil when there is no room.
-func (k *Keys) Open(key, what string) *Entry {
-	if len(k.entries) >= k.limit {
+// Open adds an entry for a key that is not known, or returns nil if there is no room.
+func (k *Keys) Open(key, target string) *Entry {
+	if len(k.entries) >= k.maxEntries {
 		return nil
 	}
-	e := &Entry{What: what}
+	e := &Entry{Target: target}
 	k.entries[key] = e
 	return e
 }
 
-// Join has f called with the answer: now if it is there, else once it is.
+// Join calls f with the answer: at once if the answer is known, else as soon as it is.
 func (e *Entry) Join(f func(Answer)) {
 	if e.Done {
 		f(e.Answer)
@@ -60,37 +59,38 @@
 	e.waiting = append(e.waiting, f)
 }
 
-// Close gives an open key its answer, tells those who wait, and forgets the key after the time to keep; at once
-// if it need not be kept. A body that finds no room is not kept: who asks for it later is told of a failure.
-func (k *Keys) Close(key string, e *Entry, a Answer, keep bool) {
+// Close sets the answer of an open key and passes it to all who wait. If keep is set, the key is remembered for the time of
+// retention, else it is forgotten at once. A body that doesn't fit into maxBytes is not stored: later calls with the key then get a
+// failure.
+func (k *Keys) Close(key string, e *Entry, answer Answer, keep bool) {
 	if e.Done {
 		return
 	}
-	e.Done, e.Answer = true, a
+	e.Done, e.Answer = true, answer
 	waiting := e.waiting
 	e.waiting = nil
 	if keep {
-		size := len(a.Body)
-		if k.bytes+size > k.most {
-			e.Answer, size = Answer{What: "failed", Why: "the answer is no longer held"}, 0
+		size := len(answer.Body)
+		if k.bytes+size > k.maxBytes {
+			e.Answer, size = Answer{Kind: "failed", Reason: "the answer is no longer held"}, 0
 		}
 		k.bytes += size
-		k.loop.After(k.keep, func() {
+		k.loop.After(k.retention, func() {
 			k.bytes -= size
-			k.forget(key, e)
+			k.remove(key, e)
 		})
 	} else {
-		k.forget(key, e)
+		k.remove(key, e)
 	}
 	for _, f := range waiting {
-		f(a)
+		f(answer)
 	}
 }
 
-// Renew forgets an answer that may be asked for anew: a refusal, which says that nothing ran.
-func (k *Keys) Renew(key string, e *Entry) { k.forget(key, e) }
+// Forget removes a key whose call may be made again because its answer was a refusal, which means that nothing ran.
+func (k *Keys) Forget(key string, e *Entry) { k.remove(key, e) }
 
-func (k *Keys) forget(key string, e *Entry) {
+func (k *Keys) remove(key string, e *Entry) {
 	if k.entries[key] == e {
 		delete(k.entries, key)
 	}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -1,5 +1,6 @@
-// Package core is what a gateway keeps in memory: requests, attempts, deadlines and the turn that owns them.
-// It knows no wire: fronts and links meet it through the interfaces in api.go.
+// Package core holds the in-memory state of a gateway: requests, attempts, deadlines and the event loop that owns them. It carries
+// out the decisions of the module, which is the Router of package decide. It knows no wire protocol: fronts and links use it through
+// the interfaces in api.go.
 package core
 
 import (
@@ -9,24 +10,25 @@
 	"time"
 )
 
-// mailboxLimit bounds what has come in and waits for a turn. Past it, Post blocks the I/O goroutine, and
-// the peers are slowed by their sockets' buffers.
+// mailboxLimit bounds the posted functions that wait for the event loop. Beyond it, Post blocks the I/O goroutine, so that full
+// socket buffers slow the peers down.
 const mailboxLimit = 8192
 
-// Loop is the turn. One goroutine runs it and owns everything that is not on a socket; the others only Post.
+// Loop is the event loop. One goroutine runs it and owns all state but that of the sockets; other goroutines only Post functions
+// to it.
 type Loop struct {
 	Deadlines
 	clock func() time.Duration
 	now   time.Duration
 
-	mu    sync.Mutex
-	room  sync.Cond
-	box   []func()
-	spare []func()
-	first []func() // goes before the box, also before what of it a turn has not come to
-	rush  atomic.Bool
-	wake  chan struct{}
-	dirty []func()
+	mu        sync.Mutex
+	notFull   sync.Cond
+	posted    []func()
+	spare     []func() // the emptied slice of the previous iteration, to be used again
+	urgent    []func() // runs before all of posted that has not run yet, also within an iteration
+	hasUrgent atomic.Bool
+	wake      chan struct{}
+	flushes   []func()
 }
 
 // WallClock reads the system's Unix clock.
@@ -35,26 +37,26 @@
 // NewLoop returns a Loop that reads its time from clock.
 func NewLoop(clock func() time.Duration) *Loop {
 	l := &Loop{clock: clock, now: clock(), wake: make(chan struct{}, 1)}
-	l.room.L = &l.mu
+	l.notFull.L = &l.mu
 	return l
 }
 
-// Now is the turn's clock reading; it stands still within a turn and never goes back.
+// Now returns the clock reading of this loop iteration. It is constant within an iteration and never goes back.
 func (l *Loop) Now() time.Duration { return l.now }
 
-// Clock reads the clock itself, which may be later than the turn's. It may be called from any goroutine.
+// Clock reads the clock itself, which may be later than Now. It may be called from any goroutine.
 func (l *Loop) Clock() time.Duration { return l.clock() }
 
-// After sets a deadline d from now.
+// After sets a deadline d after Now.
 func (l *Loop) After(d time.Duration, run func()) *Deadline { return l.Set(l.now+d, run) }
 
-// Post hands f to the next turn. It may be called from any goroutine but the Loop's own.
+// Post has f run in the next loop iteration. It may be called from any goroutine but the Loop's own.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
-	for len(l.box) >= mailboxLimit {
-		l.room.Wait()
+	for len(l.posted) >= mailboxLimit {
+		l.notFull.Wait()
 	}
-	l.box = append(l.box, f)
+	l.posted = append(l.posted, f)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -62,15 +64,15 @@
 	}
 }
 
-// PostFirst is Post for the few things that must not wait behind the rest: they run after the piece of work that the
-// turn is at. Their order among themselves is kept.
-func (l *Loop) PostFirst(f func()) {
+// PostUrgent is Post for the few functions that must not wait behind others: they run right after the posted function that is
+// running now, in the order in which they were posted.
+func (l *Loop) PostUrgent(f func()) {
 	l.mu.Lock()
-	for len(l.first) >= mailboxLimit/16 {
-		l.room.Wait()
+	for len(l.urgent) >= mailboxLimit/16 {
+		l.notFull.Wait()
 	}
-	l.first = append(l.first, f)
-	l.rush.Store(true)
+	l.urgent = append(l.urgent, f)
+	l.hasUrgent.Store(true)
 	l.mu.Unlock()
 	select {
 	case l.wake <- struct{}{}:
@@ -78,53 +80,54 @@
 	}
 }
 
-// runFirst runs what was posted with PostFirst.
-func (l *Loop) runFirst() {
+// runUrgent runs the functions posted with PostUrgent.
+func (l *Loop) runUrgent() {
 	l.mu.Lock()
-	work := l.first
-	l.first = nil
-	l.rush.Store(false)
-	l.room.Broadcast()
+	work := l.urgent
+	l.urgent = nil
+	l.hasUrgent.Store(false)
+	l.notFull.Broadcast()
 	l.mu.Unlock()
 	for _, f := range work {
 		f()
 	}
 }
 
-// Dirty has flush called at the end of this turn. Callers mark themselves once a turn.
-func (l *Loop) Dirty(flush func()) { l.dirty = append(l.dirty, flush) }
+// DeferFlush has flush called at the end of this loop iteration. Callers must call it at most once per iteration.
+func (l *Loop) DeferFlush(flush func()) { l.flushes = append(l.flushes, flush) }
 
-// Turn takes what has come, sweeps the deadlines and flushes, all at one clock reading.
-func (l *Loop) Turn() {
+// RunOnce runs one loop iteration: it runs the posted functions, the deadlines that are due and the deferred flushes, all at one
+// clock reading.
+func (l *Loop) RunOnce() {
 	l.mu.Lock()
-	work := l.box
-	l.box, l.spare = l.spare[:0], nil
-	l.room.Broadcast()
+	work := l.posted
+	l.posted, l.spare = l.spare[:0], nil
+	l.notFull.Broadcast()
 	l.mu.Unlock()
 	l.now = max(l.now, l.clock())
 	for i, f := range work {
-		if l.rush.Load() {
-			l.runFirst()
+		if l.hasUrgent.Load() {
+			l.runUrgent()
 		}
 		f()
 		work[i] = nil
 	}
 	l.spare = work
-	if l.rush.Load() {
-		l.runFirst()
+	if l.hasUrgent.Load() {
+		l.runUrgent()
 	}
-	l.Sweep(l.now)
-	for i := 0; i < len(l.dirty); i++ { // a flush may mark others
-		l.dirty[i]()
-		l.dirty[i] = nil
+	l.RunDue(l.now)
+	for i := 0; i < len(l.flushes); i++ { // a flush may defer others
+		l.flushes[i]()
+		l.flushes[i] = nil
 	}
-	l.dirty = l.dirty[:0]
+	l.flushes = l.flushes[:0]
 }
 
-// Wait blocks until something has been posted. With Turn it is Run without a timer, for tests on sockets.
+// Wait blocks until something has been posted. Tests on sockets use it with RunOnce in place of Run, without a timer.
 func (l *Loop) Wait() { <-l.wake }
 
-// Run takes turns until ctx ends.
+// Run runs loop iterations until ctx ends.
 func (l *Loop) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -140,6 +143,6 @@
 		case <-l.wake:
 		case <-timer.C:
 		}
-		l.Turn()
+		l.RunOnce()
 	}
 }
--- a/internal/core/table.go
+++ b/internal/core/table.go
@@ -1,10 +1,10 @@
 package core
 
-// Ref names a slot of a Table: its number in the low half, its generation in the high half. A Ref of a
-// slot that has been freed never matches again, so a late callback finds nothing. Zero is no slot.
+// Ref identifies a slot of a Table: the slot number in the low 32 bits, its generation in the high 32 bits. Once a slot is freed,
+// its old Ref no longer matches, so a late callback finds nothing. Zero refers to no slot.
 type Ref uint64
 
-// Table keeps values in numbered slots that are used again, each time under a new generation.
+// Table stores values in numbered slots. A slot that is used again gets a new generation.
 type Table[T any] struct {
 	slots []slot[T]
 	free  []uint32
@@ -17,13 +17,13 @@
 	value T
 }
 
-// NewTable returns a table of at most limit slots.
+// NewTable returns a table that holds at most limit values.
 func NewTable[T any](limit int) *Table[T] { return &Table[T]{limit: limit} }
 
-// Limit changes how many slots there are at most; what is in use beyond it stays.
-func (t *Table[T]) Limit(limit int) { t.limit = limit }
+// SetLimit changes how many values the table holds at most. Values beyond a lower limit stay until they are freed.
+func (t *Table[T]) SetLimit(limit int) { t.limit = limit }
 
-// Put stores a value and returns its Ref; false when the table is full.
+// Put stores a value and returns its Ref, or false if the table is full.
 func (t *Table[T]) Put(v T) (Ref, bool) {
 	if t.Len() >= t.limit {
 		return 0, false
@@ -36,7 +36,7 @@
 		t.slots = append(t.slots, slot[T]{})
 	}
 	s := &t.slots[n]
-	// Generations keep to 20 bits, so that a Ref stays below 2^52 as the module's ids do; 0 is left out.
+	// A generation has 20 bits, so that a Ref stays below 2^52 as the module's ids must. 0 is never used.
 	if s.gen = (s.gen + 1) & (1<<20 - 1); s.gen == 0 {
 		s.gen = 1
 	}
@@ -44,7 +44,7 @@
 	return Ref(s.gen)<<32 | Ref(n), true
 }
 
-// Get returns the value that r names, or the zero value and false.
+// Get returns the value that r refers to, or the zero value and false.
 func (t *Table[T]) Get(r Ref) (v T, ok bool) {
 	if n := uint32(r); uint64(n) < uint64(len(t.slots)) {
 		if s := &t.slots[n]; s.used && s.gen == uint32(r>>32) {
@@ -54,7 +54,7 @@
 	return v, false
 }
 
-// Free empties the slot that r names and reports whether it named one.
+// Free releases the slot that r refers to, and reports whether r referred to a slot in use.
 func (t *Table[T]) Free(r Ref) bool {
 	if _, ok := t.Get(r); !ok {
 		return false
@@ -66,10 +66,10 @@
 	return true
 }
 
-// Len is the number of slots in use.
+// Len returns the number of slots in use.
 func (t *Table[T]) Len() int { return len(t.slots) - len(t.free) }
 
-// Each calls f for every value in use, in order of slots. f may free the slot it is given.
+// Each calls f for every stored value, in the order of the slots. f may free the slot it is given.
 func (t *Table[T]) Each(f func(Ref, T)) {
 	for n := range t.slots {
 		if s := &t.slots[n]; s.used {
--- a/internal/core/trace.go
+++ b/internal/core/trace.go
@@ -9,49 +9,49 @@
 	"quillrail/decide"
 )
 
-// Trace counts how attempts ended and why requests were given up. The counters start at 0 with the process.
-type Trace struct {
-	Attempts [decide.OutcomesNumber]uint64 // by how they ended
+// OutcomeCounts counts how attempts ended and why the module gave requests up. The counters start at 0 with the process.
+type OutcomeCounts struct {
+	Attempts [decide.OutcomesNumber]uint64 // by outcome
 	GivenUp  [decide.ReasonsNumber]uint64  // by the module's reason
 }
 
-// Trace returns the counters as they stand.
-func (c *Core) Trace() Trace { return c.trace }
+// OutcomeCounts returns the current counters.
+func (c *Core) OutcomeCounts() OutcomeCounts { return c.outcomes }
 
-// attempted counts an attempt that has ended and notes it at the level debug, with its request's id.
-func (c *Core) attempted(r *request, a *attempt, e End) {
-	c.trace.Attempts[e.How]++
+// traceAttempt counts an attempt that has ended and logs it at debug level, with the ID of its request.
+func (c *Core) traceAttempt(r *request, a *attempt, result AttemptResult) {
+	c.outcomes.Attempts[result.Outcome]++
 	if !c.log.Core().Enabled(zapcore.DebugLevel) {
 		return
 	}
 	id := ""
-	if r != nil { // else it had its answer before
+	if r != nil { // nil if the request was answered before
 		id = r.call.ID
 	}
-	c.log.Debug("attempt ended", zap.String("id", id), zap.Int("attempt", a.shot), zap.String("worker", a.host),
-		zap.Stringer("outcome", e.How), zap.Duration("took", c.loop.Now()-a.at))
+	c.log.Debug("attempt ended", zap.String("id", id), zap.Int("attempt", a.number), zap.String("worker", a.host),
+		zap.Stringer("outcome", result.Outcome), zap.Duration("took", c.loop.Now()-a.startedAt))
 }
 
-// gaveUp counts a request that the module has given up and notes it at the level debug.
-func (c *Core) gaveUp(r *request, answer string, why decide.Reason) {
-	c.trace.GivenUp[why]++
+// traceGivenUp counts a request that the module has given up and logs it at debug level.
+func (c *Core) traceGivenUp(r *request, answer string, reason decide.Reason) {
+	c.outcomes.GivenUp[reason]++
 	if !c.log.Core().Enabled(zapcore.DebugLevel) {
 		return
 	}
-	c.log.Debug("request given up", zap.String("id", r.call.ID), zap.String("answer", answer), zap.Stringer("why", why),
-		zap.Int("attempts", len(r.shots)), zap.String("last", r.last), zap.Duration("took", c.loop.Now()-r.start))
+	c.log.Debug("request given up", zap.String("id", r.call.ID), zap.String("answer", answer), zap.Stringer("why", reason),
+		zap.Int("attempts", len(r.attempts)), zap.String("last", r.lastHost), zap.Duration("took", c.loop.Now()-r.start))
 }
 
-// Log words what the module has to say to operators.
-func (g *gateway) Log(n decide.Notice) {
-	workers := []zap.Field{zap.Int("leased", n.Leased), zap.Int("ready", n.Ready)}
-	switch n.Kind {
+// Log writes the module's notices to operators into the log.
+func (g *gateway) Log(notice decide.Notice) {
+	workers := []zap.Field{zap.Int("leased", notice.Leased), zap.Int("ready", notice.Ready)}
+	switch notice.Kind {
 	case decide.ListSilent:
-		g.log.Warn("list is silent", append(workers, zap.Duration("age", n.Age))...)
+		g.log.Warn("list is silent", append(workers, zap.Duration("age", notice.Age))...)
 	case decide.ListSpeaks:
-		g.log.Info("list speaks again", zap.Int("ready", n.Ready))
+		g.log.Info("list speaks again", zap.Int("ready", notice.Ready))
 	}
 }
 
-// ListCurrent says that the list was complete at a clock time: what it had to tell by then has come to List.
+// ListCurrent reports that the list was complete as of a clock time: all changes up to then have been passed to ApplyList.
 func (c *Core) ListCurrent(asOf time.Duration) { c.handle(decide.Current{AsOf: asOf}) }
--- a/internal/core/unwritten_test.go
+++ b/internal/core/unwritten_test.go
@@ -10,72 +10,72 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// Where the site has no cancelling, what is written for a client that leaves runs on, but what is unwritten stays here; the
+// At a site without cancelling, attempts that are written when their client disconnects run on, but unwritten ones are withdrawn. The
 // same holds for a request that has had its answer.
-func TestUnwrittenAttemptsEndWithTheirRequest(t *testing.T) {
-	for name, end := range map[string]func(*bench){
-		"gone":   func(b *bench) { b.core.Gone(b.refs[0]) },
-		"failed": func(b *bench) { b.core.FailAll() },
+func TestUnwrittenAttemptsAreWithdrawnWhenTheirRequestEnds(t *testing.T) {
+	for name, end := range map[string]func(*fixture){
+		"gone":   func(fx *fixture) { fx.core.ClientGone(fx.refs[0]) },
+		"failed": func(fx *fixture) { fx.core.FailAll() },
 	} {
-		b := newBench(t)
-		set := wiretest.Site().Decide
-		set.Cancelling = false
+		fx := newFixture(t)
+		settings := wiretest.Site().Decide
+		settings.Cancelling = false
 		var err error
-		if b.core, err = core.New(b.Loop, set, 3, b, nil, b.Log()); err != nil {
+		if fx.core, err = core.New(fx.Loop, settings, 3, fx, nil, fx.Log()); err != nil {
 			t.Fatal(err)
 		}
-		b.core.List(true, []core.Member{{Host: decide.Host{Name: "w0"}}})
-		b.call(0, 4*time.Second)
-		b.unwritten = true
-		if end(b); len(b.out) != 0 || len(b.gone) != 0 {
-			t.Errorf("%s: %d unwritten attempts stay out, %d were cancelled", name, len(b.out), len(b.gone))
+		fx.core.ApplyList(true, []core.Member{{Host: decide.Host{Name: "w0"}}})
+		fx.call(0, 4*time.Second)
+		fx.unwritten = true
+		if end(fx); len(fx.inFlight) != 0 || len(fx.cancelled) != 0 {
+			t.Errorf("%s: %d unwritten attempts are still in flight, %d were cancelled", name, len(fx.inFlight), len(fx.cancelled))
 		}
 	}
 }
 
-// A client that is known to have left gets no further attempt, though its end has not come to the turn yet.
-func TestNoFurtherAttemptForAClientThatHasLeft(t *testing.T) {
-	b := newBench(t)
-	r := b.call(0, 4*time.Second)
+// A request gets no further attempt once its client is known to have disconnected, even before the event loop has handled that.
+func TestNoFurtherAttemptAfterClientDisconnects(t *testing.T) {
+	fx := newFixture(t)
+	r := fx.call(0, 4*time.Second)
 	r.HasLeft = true
-	if b.end(0, decide.Miss); len(b.out) != 0 || b.core.Open() != 0 || len(r.Answers) != 0 {
-		t.Errorf("%d attempts out, %d requests open, answers %q", len(b.out), b.core.Open(), r.Answers)
+	if fx.end(0, decide.Miss); len(fx.inFlight) != 0 || fx.core.InFlight() != 0 || len(r.Answers) != 0 {
+		t.Errorf("%d attempts and %d requests in flight, answers %q", len(fx.inFlight), fx.core.InFlight(), r.Answers)
 	}
-	b.core.Gone(b.refs[0]) // what the front says of it comes too late
-	if len(b.records) != 1 || b.records[0].Answer != "gone" {
-		t.Errorf("records %+v", b.records)
+	fx.core.ClientGone(fx.refs[0]) // the front reports it when the request has ended already
+	if len(fx.records) != 1 || fx.records[0].Answer != "gone" {
+		t.Errorf("records %+v, want one with the answer gone", fx.records)
 	}
 }
 
-// Nor does it get a first one.
-func TestNoAttemptForAClientThatHasLeftBefore(t *testing.T) {
-	b := newBench(t)
+// A request gets no attempt at all if its client is known to have disconnected before it is submitted.
+func TestNoAttemptIfClientHasDisconnectedBefore(t *testing.T) {
+	fx := newFixture(t)
 	r := &wiretest.Replies{HasLeft: true}
-	ref := b.core.Take(core.Call{ID: "0000000000000001", Wait: time.Second, Function: "f", Lanes: 1, Reply: r})
-	if ref != 0 || len(b.out) != 0 || b.core.Open() != 0 {
-		t.Errorf("ref %d, %d attempts, %d open", ref, len(b.out), b.core.Open())
+	ref := fx.core.Submit(core.Call{ID: "0000000000000001", Wait: time.Second, Function: "f", Lanes: 1, Reply: r})
+	if ref != 0 || len(fx.inFlight) != 0 || fx.core.InFlight() != 0 {
+		t.Errorf("ref %d, %d attempts and %d requests in flight", ref, len(fx.inFlight), fx.core.InFlight())
 	}
-	if b.call(0, time.Second); len(b.out) != 1 {
-		t.Error("the next call is not sent")
+	if fx.call(0, time.Second); len(fx.inFlight) != 1 {
+		t.Error("the next call was not sent")
 	}
 }
 
-// Whoever says that a worker may get nothing new, the link is told after the module.
-func TestUnwrittenIsWithdrawnFromWorkersThatGetNothingNew(t *testing.T) {
-	for name, change := range map[string]func(*bench){
-		"list": func(b *bench) {
-			b.core.List(false, []core.Member{{Host: decide.Host{Name: "w1", Zone: 1, State: decide.Draining}}})
+// When a worker may get nothing new, by the list, a ban or another gateway, the core has the link withdraw what is unwritten to it.
+func TestUnwrittenIsWithdrawnFromUnusableWorkers(t *testing.T) {
+	for name, change := range map[string]func(*fixture){
+		"list": func(fx *fixture) {
+			fx.core.ApplyList(false, []core.Member{{Host: decide.Host{Name: "w1", Zone: 1, State: decide.Draining}}})
 		},
-		"absent": func(b *bench) {
-			b.core.List(true, []core.Member{{Host: decide.Host{Name: "w0"}}, {Host: decide.Host{Name: "w2"}}})
+		"absent": func(fx *fixture) {
+			fx.core.ApplyList(true, []core.Member{{Host: decide.Host{Name: "w0"}}, {Host: decide.Host{Name: "w2"}}})
 		},
-		"ban":  func(b *bench) { b.core.Disable("w1") },
-		"peer": func(b *bench) { b.core.Hold(map[string]bool{"w1": true}) },
+		"ban":  func(fx *fixture) { fx.core.Disable("w1") },
+		"peer": func(fx *fixture) { fx.core.SetDraining(map[string]bool{"w1": true}) },
 	} {
-		b := newBench(t)
-		b.kept = nil
-		if change(b); !slices.Equal(b.kept, []string{"w1"}) {
-			t.Errorf("%s: nothing new to %q", name, b.kept)
+		fx := newFixture(t)
+		fx.withdrawnFrom = nil
+		if change(fx); !slices.Equal(fx.withdrawnFrom, []string{"w1"}) {
+			t.Errorf("%s: unwritten attempts were withdrawn from %q, want w1", name, fx.withdrawnFrom)
 		}
 	}
 }
--- a/internal/fleet/agreement/fail_test.go
+++ b/internal/fleet/agreement/fail_test.go
@@ -54,7 +54,7 @@
 		t.Error("it is taken in again at once")
 	}
 	now += afterFailure
-	loop.Turn()
+	loop.RunOnce()
 	if takenIn(44) {
 		t.Error("it is the former voter again")
 	}
--- a/internal/fleettest/version_test.go
+++ b/internal/fleettest/version_test.go
@@ -53,11 +53,11 @@
 
 type sheds struct{ httpfront.Taker }
 
-func (s sheds) Take(c core.Call) core.Ref {
+func (s sheds) Submit(c core.Call) core.Ref {
 	if c.ClassName == "once" && rand.Float64() < 0.3 {
 		s.Count(c.Class, "refused")
 		c.Reply.Refused(0, "")
 		return 0
 	}
-	return s.Taker.Take(c)
+	return s.Taker.Submit(c)
 }
--- a/internal/lifecycle/agreed.go
+++ b/internal/lifecycle/agreed.go
@@ -99,7 +99,7 @@
 
 func (d *deeds) Ban(id string) {
 	if d.core != nil {
-		d.core.Adopt(roster.Ban{ID: id, Since: d.core.Since(id)})
+		d.core.Adopt(roster.Ban{ID: id, Since: d.core.ListedStart(id)})
 		ban, banned := d.core.Banned(id)
 		d.recovery.BroadcastBan(id, banned, ban.Since)
 	}
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -35,7 +35,7 @@
 	}
 	g.pool = workerlink.New(loop, net, c.Site, c.Sockets-c.clients()-c.own(), log.Named("workers"))
 	var workers core.Workers = g.pool
-	tell := func(whole bool, members []core.Member) { g.core.List(whole, members) }
+	tell := func(whole bool, members []core.Member) { g.core.ApplyList(whole, members) }
 	told := tell
 	if c.Extensions.Enabled && c.Extensions.Workers.Broker != "" {
 		opt, replies, list, err := c.Extensions.workerOptions(c.Name, c.Site)
--- a/internal/lifecycle/crowd_test.go
+++ b/internal/lifecycle/crowd_test.go
@@ -111,7 +111,7 @@
 	}
 	close(w.hold)
 	opened := make(chan int)
-	g.loop.Post(func() { opened <- g.core.Open() })
+	g.loop.Post(func() { opened <- g.core.InFlight() })
 	if n := <-opened; n != 0 {
 		t.Errorf("%d requests are open", n)
 	}
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -121,7 +121,7 @@
 				return
 			default:
 				g.loop.Wait()
-				g.loop.Turn()
+				g.loop.RunOnce()
 			}
 		}
 	}()
@@ -164,7 +164,7 @@
 	second := call("0000000000000002")
 	for open := 0; open == 0; { // until it has been taken
 		got := make(chan int)
-		g.loop.Post(func() { got <- g.core.Open() })
+		g.loop.Post(func() { got <- g.core.InFlight() })
 		open = <-got
 	}
 	pass := func(d time.Duration) {
--- a/internal/lifecycle/end.go
+++ b/internal/lifecycle/end.go
@@ -41,7 +41,7 @@
 		g.node.Drain()
 	}
 	handed := g.upgrade != nil && g.upgrade.toReady
-	g.log.Info("draining", zap.Int("open", g.core.Open()), zap.Int("clients", g.front.Conns()), zap.Bool("handed", handed))
+	g.log.Info("draining", zap.Int("open", g.core.InFlight()), zap.Int("clients", g.front.Conns()), zap.Bool("handed", handed))
 	if handed { // what waits to be accepted and all that comes is the new process's
 		g.net.StopAccepting()
 		g.front.Leave()
@@ -55,7 +55,7 @@
 		g.loop.After(keepAccept, g.finish)
 	}
 	g.loop.After(g.longest(), func() {
-		if n := g.core.Open(); n > 0 {
+		if n := g.core.InFlight(); n > 0 {
 			g.log.Warn("out of time", zap.Int("failed", n))
 			g.core.FailAll()
 		}
@@ -66,7 +66,7 @@
 
 // leave ends the process once its last client has gone.
 func (g *Gateway) leave() {
-	if g.core.Open() > 0 || g.front.Conns() > 0 || g.calls != nil && g.calls.Up() && g.calls.Waiting() > 0 {
+	if g.core.InFlight() > 0 || g.front.Conns() > 0 || g.calls != nil && g.calls.Up() && g.calls.Waiting() > 0 {
 		g.loop.After(10*time.Millisecond, g.leave)
 		return
 	}
@@ -74,13 +74,13 @@
 }
 
 func (g *Gateway) finish() {
-	if g.core.Open() > 0 || g.front.Held() > 0 || g.calls != nil && g.calls.Up() && g.calls.Waiting() > 0 {
+	if g.core.InFlight() > 0 || g.front.Held() > 0 || g.calls != nil && g.calls.Up() && g.calls.Waiting() > 0 {
 		g.loop.After(10*time.Millisecond, g.finish)
 		return
 	}
 	g.front.Closing()
 	g.loop.After(lastFlush, func() {
-		if g.core.Open() > 0 || g.front.Held() > 0 { // a call came in meanwhile
+		if g.core.InFlight() > 0 || g.front.Held() > 0 { // a call came in meanwhile
 			g.finish()
 			return
 		}
--- a/internal/lifecycle/extensions.go
+++ b/internal/lifecycle/extensions.go
@@ -160,26 +160,28 @@
 	return f.Pool
 }
 
-func (f *bothKinds) Send(a core.Attempt)                   { f.link(a.Host).Send(a) }
-func (f *bothKinds) Cancel(host string, ref core.Ref)      { f.link(host).Cancel(host, ref) }
-func (f *bothKinds) Unsend(host string, ref core.Ref) bool { return f.link(host).Unsend(host, ref) }
-func (f *bothKinds) Probe(ref core.Ref, host string)       { f.link(host).Probe(ref, host) }
-func (f *bothKinds) Forget(host string, ref core.Ref)      { f.link(host).Forget(host, ref) }
-func (f *bothKinds) Unload(host, function string)          { f.link(host).Unload(host, function) }
-func (f *bothKinds) Release(host string)                   { f.link(host).Release(host) }
+func (f *bothKinds) Send(a core.Attempt)              { f.link(a.Host).Send(a) }
+func (f *bothKinds) Cancel(host string, ref core.Ref) { f.link(host).Cancel(host, ref) }
+func (f *bothKinds) WithdrawAttempt(host string, ref core.Ref) bool {
+	return f.link(host).WithdrawAttempt(host, ref)
+}
+func (f *bothKinds) Probe(ref core.Ref, host string)  { f.link(host).Probe(ref, host) }
+func (f *bothKinds) Forget(host string, ref core.Ref) { f.link(host).Forget(host, ref) }
+func (f *bothKinds) Unload(host, function string)     { f.link(host).Unload(host, function) }
+func (f *bothKinds) Release(host string)              { f.link(host).Release(host) }
 func (f *bothKinds) Load(ref core.Ref, host, function string, copies int) {
 	f.link(host).Load(ref, host, function, copies)
 }
 
-// Withdraw takes back what is unwritten on both.
-func (f *bothKinds) Withdraw(mayGet func(string) bool) {
-	f.Pool.Withdraw(mayGet)
-	f.mqtt.Withdraw(mayGet)
+// WithdrawUnwritten takes back what is unwritten on both.
+func (f *bothKinds) WithdrawUnwritten(mayGet func(string) bool) {
+	f.Pool.WithdrawUnwritten(mayGet)
+	f.mqtt.WithdrawUnwritten(mayGet)
 }
 
-// List passes on the workers that are not of MQTT.
-func (f *bothKinds) List(whole bool, members []core.Member) {
-	f.Pool.List(whole, slices.DeleteFunc(slices.Clone(members), func(m core.Member) bool {
+// ApplyList passes on the workers that are not of MQTT.
+func (f *bothKinds) ApplyList(whole bool, members []core.Member) {
+	f.Pool.ApplyList(whole, slices.DeleteFunc(slices.Clone(members), func(m core.Member) bool {
 		return strings.HasPrefix(m.Name, mqtt.Prefix)
 	}))
 }
--- a/internal/lifecycle/figures.go
+++ b/internal/lifecycle/figures.go
@@ -11,9 +11,9 @@
 // Stat words the figures in the form of statsd.
 func (d *desk) Stat() string {
 	var b strings.Builder
-	var f core.Figures
+	var f core.Metrics
 	if d.core != nil {
-		f = d.core.Figures()
+		f = d.core.Metrics()
 	}
 	count := func(name string, n uint64) { fmt.Fprintf(&b, "svc.%s:%d|c\n", name, n) }
 	gauge := func(name string, n int) { fmt.Fprintf(&b, "svc.%s:%d|g\n", name, n) }
@@ -23,7 +23,7 @@
 		count(class+"shed", c.Shed)
 		count(class+"errors", c.Errors)
 	}
-	count("tries", f.Tries)
+	count("tries", f.Attempts)
 	d.trace(count)
 	gauge("active", f.Active)
 	gauge("pool_size", f.PoolSize)
@@ -41,7 +41,7 @@
 	if d.core == nil {
 		return
 	}
-	trace := d.core.Trace()
+	trace := d.core.OutcomeCounts()
 	for outcome, n := range trace.Attempts {
 		count("attempts."+decide.Outcome(outcome).String(), n)
 	}
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -114,7 +114,7 @@
 }
 
 // Hold leaves workers alone that others know to drain.
-func (p *peers) Hold(ids map[string]bool) { p.core.Hold(ids) }
+func (p *peers) Hold(ids map[string]bool) { p.core.SetDraining(ids) }
 
 // AssumeRate has cold workers judged by the rate that was served before, and bounds the loads under way.
 func (p *peers) AssumeRate(perSec float64, loads int) { p.core.AssumeRate(perSec, loads) }
@@ -134,8 +134,8 @@
 	}
 }
 
-// Take refuses a call that is not admitted yet; nothing has run.
-func (t *gate) Take(call core.Call) core.Ref {
+// Submit refuses a call that is not admitted yet; nothing has run.
+func (t *gate) Submit(call core.Call) core.Ref {
 	ok, pause, why := true, time.Duration(0), ""
 	if t.g.fresh {
 		ok, pause = t.g.recovery.Admit(call.Class, call.Function)
@@ -148,7 +148,7 @@
 		call.Reply.Refused(pause, why)
 		return 0
 	}
-	return t.Core.Take(call)
+	return t.Core.Submit(call)
 }
 
 // phase is how far the gateway has come back, for those who ask whether it is ready.
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -96,7 +96,7 @@
 	if got := strings.Join(told, " "); got != "mqtt-1false s-1true mqtt-1true" {
 		t.Errorf("told %s", got)
 	}
-	f.List(true, []core.Member{{Addr: "t", Host: decide.Host{Name: "mqtt-1"}}})
+	f.ApplyList(true, []core.Member{{Addr: "t", Host: decide.Host{Name: "mqtt-1"}}})
 	if f.link("mqtt-1") != core.Workers(l) || f.link("s-1") != core.Workers(f.Pool) {
 		t.Error("a worker is sent to on the wrong link")
 	}
--- a/internal/lifecycle/never_twice_test.go
+++ b/internal/lifecycle/never_twice_test.go
@@ -118,7 +118,7 @@
 		})
 		list = append(list, core.Member{Addr: name, Host: decide.Host{Name: name, Zone: i % 2}})
 	}
-	c.List(true, list)
+	c.ApplyList(true, list)
 	return front, c, list
 }
 
@@ -129,7 +129,7 @@
 	p = &plant{World: w, rng: rand.New(rand.NewPCG(seed, 3)), runs: map[string]int{}, keys: map[string]time.Duration{},
 		conns: map[string][]*wiretest.Conn{}}
 	site := wiretest.Site()
-	site.Classes, site.Streams = append(site.Classes, "once"), 32
+	site.Classes, site.StreamsPerConn = append(site.Classes, "once"), 32
 	site.Decide.Classes = append(site.Decide.Classes, decide.Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 5, Effect: unsafe})
 	front, c, list := p.gateway(site, seed, w, nil)
 	var clients []*seek
@@ -153,7 +153,7 @@
 		case k < 4: // one leaves the list or comes back
 			m := list[p.rng.IntN(6)]
 			m.State = []decide.HostState{decide.Ready, decide.Draining, decide.Gone}[p.rng.IntN(3)]
-			c.List(false, []core.Member{m})
+			c.ApplyList(false, []core.Member{m})
 		case k == 4: // a client leaves
 			s.left = true
 			w.Run()
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -184,7 +184,7 @@
 	}
 	open := 0
 	if g.core != nil {
-		open = g.core.Open()
+		open = g.core.InFlight()
 	}
 	g.log.Info("clients are sent away", zap.Int("open", open), zap.Int("clients", g.front.Conns()))
 }
--- a/internal/lifecycle/operator_test.go
+++ b/internal/lifecycle/operator_test.go
@@ -45,7 +45,7 @@
 				return
 			default:
 				g.loop.Wait()
-				g.loop.Turn()
+				g.loop.RunOnce()
 			}
 		}
 	}()
@@ -137,13 +137,13 @@
 		t.Fatal(err)
 	}
 	defer g.net.Stop()
-	g.loop.Turn()
+	g.loop.RunOnce()
 	// nbio forgets an end that comes before its own goroutines have begun: a connection that is taken shows that they have.
 	conn, err := net.Dial("tcp", g.net.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for fmt.Fprint(conn, "GET /check HTTP/1.1\r\nHost: x\r\n\r\n"); g.front.Conns() == 0; g.loop.Turn() {
+	for fmt.Fprint(conn, "GET /check HTTP/1.1\r\nHost: x\r\n\r\n"); g.front.Conns() == 0; g.loop.RunOnce() {
 		g.loop.Wait()
 	}
 	conn.Close()
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -96,7 +96,7 @@
 	g.loop.Post(func() { g.done = cancel })
 	g.loop.Run(run)
 	if g.core != nil {
-		log.Info("stopped", zap.Int("open", g.core.Open()))
+		log.Info("stopped", zap.Int("open", g.core.InFlight()))
 	}
 	return nil
 }
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -134,7 +134,7 @@
 		err   error
 	}
 	got := make(chan offer, 1)
-	go u.g.loop.PostFirst(func() {
+	go u.g.loop.PostUrgent(func() {
 		switch {
 		case u.g.terminating:
 			got <- offer{err: errEnding}
@@ -159,7 +159,7 @@
 
 // Taken notes a successor, and tells it what has changed since it was offered the state.
 func (u *upgrade) Taken(p *handover.Peer) {
-	u.g.loop.PostFirst(func() {
+	u.g.loop.PostUrgent(func() {
 		u.to, u.toReady = p, false
 		for _, b := range u.g.core.Saved().Bans {
 			p.Ban(b)
@@ -176,7 +176,7 @@
 
 // PeerReady says that the successor can serve: from SIGTERM on it takes the connections that come.
 func (u *upgrade) PeerReady(p *handover.Peer) {
-	u.g.loop.PostFirst(func() {
+	u.g.loop.PostUrgent(func() {
 		if u.to == p {
 			u.toReady = true
 			u.g.log.Info("the new process is ready")
@@ -186,7 +186,7 @@
 
 // PeerGone says that the other process has ended: this one has the gateway to itself.
 func (u *upgrade) PeerGone(p *handover.Peer) {
-	u.g.loop.PostFirst(func() {
+	u.g.loop.PostUrgent(func() {
 		switch p {
 		case u.from:
 			u.from = nil
@@ -211,7 +211,7 @@
 
 // Ban takes over a ban that an operator has laid at the other process.
 func (u *upgrade) Ban(b roster.Ban) {
-	u.g.loop.PostFirst(func() {
+	u.g.loop.PostUrgent(func() {
 		u.g.core.Adopt(b)
 		u.save()
 	})
@@ -219,7 +219,7 @@
 
 // CallBack takes over the end of a ban.
 func (u *upgrade) CallBack(id string) {
-	u.g.loop.PostFirst(func() {
+	u.g.loop.PostUrgent(func() {
 		if u.g.core.Enable(id) == nil {
 			u.save()
 		}
--- a/internal/settings/check_test.go
+++ b/internal/settings/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-const whole = `{"azs":["x","y"],"kinds":["k"],"balancers":3,"slot-no":2,"zone":1,"membership-mode":"automatic",
+const fullSettings = `{"azs":["x","y"],"kinds":["k"],"balancers":3,"slot-no":2,"zone":1,"membership-mode":"automatic",
 "classes":[{"name":"read","effect":"idempotent","promise-s":0.5,"deadline-s":4,"credit":1,"late-worth":0.3,"window-s":5},
 {"name":"pay","effect":"at_most_once","promise-s":1.5,"deadline-s":6,"credit":5}],
 "customers":[{"name":"a","share":0.5,"allowance-per-s":9},{"name":"b","share":0.5}],
@@ -14,12 +14,13 @@
 "family-info":{"keep-s":10,"free-loads":2,"load-share":0.3,"load-period-s":10,"not-loaded":"load","order-limit-s":10,"orders":true},
 "policy-limits":{"try-limit":5,"conn-idle-s":30,"connect-timeout-s":0.25,"streams-per-conn":32,"max-retry-after-s":2}}`
 
-// Each setting that is missing, of the wrong type, out of range or at odds with another is told by its name and its value.
-func TestSettingsThatCannotBeUsed(t *testing.T) {
-	if _, err := ParseStrict([]byte(whole)); err != nil {
+// The error for a setting that is missing, of the wrong type, out of range or in conflict with another names the setting and its
+// value.
+func TestParseStrictNamesUnusableSetting(t *testing.T) {
+	if _, err := ParseStrict([]byte(fullSettings)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range [][4]string{ // what stands there, what is put in its place, the field and the value in the error
+	for _, c := range [][4]string{ // the original text, its replacement, the field and the value in the error
 		{`"deadline-s":4`, `"deadline-s":"soon"`, "classes.deadline-s", `"soon"`},
 		{`"deadline-s":4`, `"deadline-s":true`, "classes.deadline-s", "true"},
 		{`"deadline-s":4`, `"deadline-s":-4`, "classes[0].deadline-s", "-4"},
@@ -56,13 +57,14 @@
 		{`"streams-per-conn":32`, `"streams-per-conn":-1`, "policy-limits.streams-per-conn", "-1"},
 		{`"max-retry-after-s":2`, `"max-retry-after-s":-2`, "policy-limits.max-retry-after-s", "-2"},
 	} {
-		if !strings.Contains(whole, c[0]) {
-			t.Fatalf("no %s to replace", c[0])
+		if !strings.Contains(fullSettings, c[0]) {
+			t.Fatalf("the settings have no %s to replace", c[0])
 		}
-		_, err := ParseStrict([]byte(strings.Replace(whole, c[0], c[1], 1)))
+		_, err := ParseStrict([]byte(strings.Replace(fullSettings, c[0], c[1], 1)))
 		var field *FieldError
-		if !errors.As(err, &field) || field.Field != c[2] || !strings.Contains(err.Error(), " is "+c[3]+",") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s and %s", c[1], err, c[2], c[3])
+		if !errors.As(err, &field) || field.Field != c[2] || !strings.Contains(err.Error(), " is "+c[3]+",") ||
+			strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one that names %s and %s", c[1], err, c[2], c[3])
 		}
 	}
 }
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -10,19 +10,21 @@
 	"quillrail/internal/transient"
 )
 
-// readFor is how long a file is tried to be read while the machine lacks something for it.
-const readFor = 5 * time.Second
+// readTimeout limits the retries of a read that fails because the machine lacks something for the moment, such as file descriptors.
+const readTimeout = 5 * time.Second
 
-// ReadText reads a file whole. It is for those that a process cannot do without: it waits while the system has no descriptor.
+// ReadText reads a whole file. It is meant for files that a process can't run without: transient errors, such as a lack of file
+// descriptors, are retried for readTimeout.
 func ReadText(path string) (text []byte, err error) {
-	err = transient.Retry(readFor, func() (err error) {
+	err = transient.Retry(readTimeout, func() (err error) {
 		text, err = os.ReadFile(path)
 		return err
 	})
 	return text, err
 }
 
-// ReadFile reads an optional TOML file of the project's own. One that does not exist turns off what it would configure.
+// ReadFile reads one of the project's optional TOML files. A file that doesn't exist gives a zero T, which turns off what the file
+// configures.
 func ReadFile[T any](path string, parse func(text string) (*T, error)) (*T, error) {
 	text, err := ReadText(path)
 	if os.IsNotExist(err) {
@@ -38,7 +40,7 @@
 	return value, nil
 }
 
-// DecodeTOML decodes a text that may hold no other keys than into has.
+// DecodeTOML decodes a TOML text into a struct. A key that the struct doesn't have is an error.
 func DecodeTOML(text string, into any) error {
 	meta, err := toml.Decode(text, into)
 	if err != nil {
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -9,11 +9,11 @@
 	"quillrail/decide"
 )
 
-const maxReported = 1e6 // a report that holds more is a mistake
+const maxReported = 1e6 // a larger value in a load report is taken for an error
 
-// reported are the values that a site may name for its load reports, by the simulator's names and by those that
-// answers carry, and where the module has them; nil for those that it has no use for.
-var reported = map[string]func(*decide.Report) *float64{
+// reportFields maps the names of the values in load reports to their fields in the module's Report. Both the names that the
+// simulator uses and those in workers' answers are known. It is nil for values that the module doesn't use.
+var reportFields = map[string]func(*decide.Report) *float64{
 	"busy_reqs": inFlight, "inflight": inFlight, "pending": queue, "queue": queue,
 	"x0": func(r *decide.Report) *float64 { return &r.Memory }, "x1": func(r *decide.Report) *float64 { return &r.Loads },
 	"cpu_share": nil, "util": nil, "svc_ms": nil, "served_ps": nil, "failed_ps": nil,
@@ -22,50 +22,50 @@
 func inFlight(r *decide.Report) *float64 { return &r.InFlight }
 func queue(r *decide.Report) *float64    { return &r.Queue }
 
-// readStats takes what the settings say of load reports.
+// readStats applies the settings about load reports.
 func (s *Site) readStats(how string, fields []string) {
 	switch how {
 	case "inline", "on_probe":
-		s.Reports = fields
+		s.ReportFields = fields
 	case "", "off":
 	default:
 		s.Unknown = append(s.Unknown, fmt.Sprintf("stats.how: %q", how))
 	}
 	for i, name := range fields {
-		if _, ok := reported[name]; !ok {
+		if _, ok := reportFields[name]; !ok {
 			s.Unknown = append(s.Unknown, fmt.Sprintf("stats.fields[%d]: %q", i, name))
 		}
 	}
 }
 
-// Report reads a load report such as inflight:7;queue:0 with its values set apart by between; nil if none of them
-// counts. A value counts if the module knows its name and it is a finite number from 0 to a million that came once;
-// any other is as good as not told.
-func (s *Site) Report(text, between string) *decide.Report {
-	if text == "" || len(s.Reports) == 0 {
+// Report parses a load report such as inflight:7;queue:0, whose values are separated by separator. It returns nil if no value is
+// usable. A value is usable if the module uses its name, and it is a finite number from 0 to a million that occurs only once; any
+// other counts as missing.
+func (s *Site) Report(text, separator string) *decide.Report {
+	if text == "" || len(s.ReportFields) == 0 {
 		return nil
 	}
-	none := decide.Report{InFlight: -1, Queue: -1, Loads: -1, Memory: -1}
-	r := none
+	empty := decide.Report{InFlight: -1, Queue: -1, Loads: -1, Memory: -1}
+	report := empty
 	var seen []*float64
-	for n := 0; text != "" && n < 2*len(reported); n++ { // more is no report
+	for n := 0; text != "" && n < 2*len(reportFields); n++ { // a longer text is no load report
 		var pair string
-		pair, text, _ = strings.Cut(text, between)
-		name, num, _ := strings.Cut(pair, ":")
-		where := reported[name]
-		if where == nil {
+		pair, text, _ = strings.Cut(text, separator)
+		name, number, _ := strings.Cut(pair, ":")
+		fieldOf := reportFields[name]
+		if fieldOf == nil {
 			continue
 		}
-		at := where(&r)
-		again := slices.Contains(seen, at)
-		seen = append(seen, at)
-		x, err := strconv.ParseFloat(num, 64)
-		if *at = -1; err == nil && !again && x >= 0 && x <= maxReported {
-			*at = x
+		field := fieldOf(&report)
+		repeated := slices.Contains(seen, field)
+		seen = append(seen, field)
+		value, err := strconv.ParseFloat(number, 64)
+		if *field = -1; err == nil && !repeated && value >= 0 && value <= maxReported {
+			*field = value
 		}
 	}
-	if r == none {
+	if report == empty {
 		return nil
 	}
-	return &r
+	return &report
 }
--- a/internal/settings/report_test.go
+++ b/internal/settings/report_test.go
@@ -8,20 +8,20 @@
 	"quillrail/decide"
 )
 
-const stats = `{"classes":[{"effect":"idempotent"}],"stats":{"how":"HOW","fields":["pending","busy_reqs","x1","x0"]}}`
+const reportSettings = `{"classes":[{"effect":"idempotent"}],"stats":{"how":"HOW","fields":["pending","busy_reqs","x1","x0"]}}`
 
-func site(t testing.TB, how string) *Site {
-	s, err := Parse([]byte(strings.Replace(stats, "HOW", how, 1)))
+func parseSite(t testing.TB, how string) *Site {
+	s, err := Parse([]byte(strings.Replace(reportSettings, "HOW", how, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s
 }
 
-// A value that can't be one counts as not told, and the others still count.
+// An unusable value in a load report counts as missing, and the other values still count.
 func TestReport(t *testing.T) {
-	none := decide.Report{InFlight: -1, Queue: -1, Loads: -1, Memory: -1}
-	with := func(f func(*decide.Report)) *decide.Report { r := none; f(&r); return &r }
+	empty := decide.Report{InFlight: -1, Queue: -1, Loads: -1, Memory: -1}
+	with := func(f func(*decide.Report)) *decide.Report { r := empty; f(&r); return &r }
 	inFlight7 := with(func(r *decide.Report) { r.InFlight = 7 })
 	for text, want := range map[string]*decide.Report{
 		"":                                     nil,
@@ -38,34 +38,35 @@
 		"queue:x":                              nil,
 		"odd:1":                                nil,
 	} {
-		got := site(t, "inline").Report(text, ";")
+		got := parseSite(t, "inline").Report(text, ";")
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
 			t.Errorf("%q: %+v, want %+v", text, got, want)
 		}
 	}
-	if r := site(t, "off").Report("inflight:7", ";"); r != nil {
-		t.Errorf("where there are no reports: %+v", r)
+	if r := parseSite(t, "off").Report("inflight:7", ";"); r != nil {
+		t.Errorf("report at a site without load reports: %+v", r)
 	}
 }
 
-// What is not understood is told with its place, and does not keep a gateway from starting.
-func TestUnknownReportFields(t *testing.T) {
+// Settings about load reports that are not understood are listed with their place, and don't keep a gateway from starting.
+func TestUnknownReportSettingsAreListed(t *testing.T) {
 	s, err := Parse([]byte(`{"classes":[],"stats":{"how":"sometimes","fields":["x0","weather"]}}`))
 	if err != nil || strings.Join(s.Unknown, "; ") != `stats.how: "sometimes"; stats.fields[1]: "weather"` {
 		t.Errorf("%v, %v", s.Unknown, err)
 	}
 }
 
+// FuzzReport checks that each value of a report is -1 or within its bounds, whatever the text and the separator.
 func FuzzReport(f *testing.F) {
 	for _, text := range []string{"inflight:7;util:0.61", "queue:1;queue:2", "x0:NaN;x1:-0", ";;:;"} {
 		f.Add(text, ";")
 	}
-	s := site(f, "inline")
-	f.Fuzz(func(t *testing.T, text, between string) {
-		if between == "" {
+	s := parseSite(f, "inline")
+	f.Fuzz(func(t *testing.T, text, separator string) {
+		if separator == "" {
 			return
 		}
-		if r := s.Report(text, between); r != nil {
+		if r := s.Report(text, separator); r != nil {
 			for _, x := range []float64{r.InFlight, r.Queue, r.Loads, r.Memory} {
 				if x != -1 && !(x >= 0 && x <= maxReported) || math.IsNaN(x) {
 					t.Errorf("%q: %+v", text, r)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the object that tells a gateway its site: from the simulator's first message or from
-// the configuration of a real gateway, both in the same words.
+// Package settings reads the settings of a gateway's site: from the simulator's first message or from the configuration file of a
+// real gateway, which have the same format.
 package settings
 
 import (
@@ -11,7 +11,7 @@
 	"quillrail/decide"
 )
 
-// bootInfo is the part of the start message that the module acts on; other keys are disregarded.
+// bootInfo is the JSON form of the settings, named after the simulator's first message. Keys without a field here are ignored.
 type bootInfo struct {
 	Zones     []string `json:"azs"`
 	Kinds     []string `json:"kinds"`
@@ -77,22 +77,22 @@
 var scopes = map[string]decide.Scope{"": decide.AllWorkers, "all": decide.AllWorkers, "zone": decide.SameZone,
 	"cell": decide.SameCell}
 
-// Site is the module's settings and what the fronts and links need besides.
+// Site holds the module's settings and those that only the fronts and links need.
 type Site struct {
-	Decide  decide.Settings
-	Classes []string
-	Tenants []string
-	Zones   []string
-	Kinds   []string
-	Reports []string // the values that load reports hold, empty where there are none
-	Unknown []string // what the settings hold that is not understood; calls are taken all the same
-
-	ConnIdle       time.Duration // an idle connection to a worker is closed after
-	ConnectTimeout time.Duration // a connection not up by then has failed
-	Streams        int           // attempts that one connection carries at once
+	Decide       decide.Settings
+	Classes      []string
+	Tenants      []string
+	Zones        []string
+	Kinds        []string
+	ReportFields []string // the values in a worker's load report, empty where workers send none
+	Unknown      []string // the settings that are not understood; the gateway serves calls all the same
+
+	ConnIdle       time.Duration // time after which an idle connection to a worker is closed
+	ConnectTimeout time.Duration // a connection attempt that takes longer has failed
+	StreamsPerConn int           // attempts in flight on one connection at most
 }
 
-// Parse reads the settings as far as they are there.
+// Parse reads the settings. Missing ones are left at their zero values.
 func Parse(text []byte) (*Site, error) {
 	b, err := decode(text)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return b.site()
 }
 
-// ParseStrict is Parse for a gateway that is to serve: whatever is missing, out of range or contradictory is an error that
+// ParseStrict is Parse for a gateway that is to serve: a setting that is missing, out of range or contradictory is an error that
 // names it.
 func ParseStrict(text []byte) (*Site, error) {
 	b, err := decode(text)
@@ -116,53 +116,54 @@
 
 func (b *bootInfo) site() (*Site, error) {
 	site := &Site{Zones: b.Zones, Kinds: b.Kinds, ConnIdle: seconds(b.Limits.ConnIdle),
-		ConnectTimeout: seconds(b.Limits.Connect), Streams: b.Limits.Streams}
+		ConnectTimeout: seconds(b.Limits.Connect), StreamsPerConn: b.Limits.Streams}
 	s := &site.Decide
-	for i, c := range b.Classes {
-		site.Classes = append(site.Classes, c.Name)
-		effect, ok := effects[c.Effect]
-		group, ok2 := scopes[c.KeyScope]
-		if !ok {
-			return nil, &FieldError{fmt.Sprintf("classes[%d].effect", i), fmt.Sprintf("%q", c.Effect), "idempotent, deduplicated or at_most_once"}
+	for i, class := range b.Classes {
+		site.Classes = append(site.Classes, class.Name)
+		effect, effectOK := effects[class.Effect]
+		group, scopeOK := scopes[class.KeyScope]
+		if !effectOK {
+			return nil, &FieldError{fmt.Sprintf("classes[%d].effect", i), fmt.Sprintf("%q", class.Effect),
+				"idempotent, deduplicated or at_most_once"}
 		}
-		if !ok2 {
-			return nil, &FieldError{fmt.Sprintf("classes[%d].key-scope", i), fmt.Sprintf("%q", c.KeyScope), "all, zone or cell"}
+		if !scopeOK {
+			return nil, &FieldError{fmt.Sprintf("classes[%d].key-scope", i), fmt.Sprintf("%q", class.KeyScope), "all, zone or cell"}
 		}
-		s.Classes = append(s.Classes, decide.Class{Aim: seconds(c.Promise), Deadline: seconds(c.Deadline),
-			Worth: c.Credit, LateWorth: c.LateWorth, Effect: effect, Group: group, Window: seconds(c.Window),
-			Streaming: c.Streaming})
+		s.Classes = append(s.Classes, decide.Class{Aim: seconds(class.Promise), Deadline: seconds(class.Deadline),
+			Worth: class.Credit, LateWorth: class.LateWorth, Effect: effect, Group: group, Window: seconds(class.Window),
+			Streaming: class.Streaming})
 	}
-	for _, t := range b.Customers {
-		site.Tenants = append(site.Tenants, t.Name)
-		s.Tenants = append(s.Tenants, decide.Tenant{Share: t.Share, PerSec: t.PerSec})
+	for _, tenant := range b.Customers {
+		site.Tenants = append(site.Tenants, tenant.Name)
+		s.Tenants = append(s.Tenants, decide.Tenant{Share: tenant.Share, PerSec: tenant.PerSec})
 	}
 	s.Self = b.Slot
 	s.Gateways, s.Zone, s.Subscribe = b.Balancers, b.Zone, b.Mode == "subscribe"
-	l := b.Limits
-	s.MaxAttempts, s.Parallel, s.Cancelling, s.Probing = l.TryLimit, l.Parallel, l.Cancelling, l.Probing
-	s.Peers, s.SendDelay = l.MayTell, seconds(l.Connect)
-	if l.RetryAfter {
-		s.MaxRetryAfter = seconds(l.MaxRetryAfter)
+	limits := b.Limits
+	s.MaxAttempts, s.Parallel, s.Cancelling, s.Probing = limits.TryLimit, limits.Parallel, limits.Cancelling, limits.Probing
+	s.Peers, s.SendDelay = limits.MayTell, seconds(limits.Connect)
+	if limits.RetryAfter {
+		s.MaxRetryAfter = seconds(limits.MaxRetryAfter)
 	}
-	c := b.Contract
-	s.AnswerSlack, s.DrainGrace = seconds(c.AnswerSlack), seconds(c.DrainGrace)
-	s.ColdFrom, s.ColdFor = c.ColdFrom, seconds(c.Cold)
-	s.FallMultiple, s.FallFor = c.FallMultiple, seconds(c.Fall)
-	f := b.Family
-	s.KeepAlive, s.Orders, s.LoadsOnMiss = seconds(f.Keep), f.Orders, f.NotLoaded != "miss"
-	s.MarksCold, s.TellsCrowd, s.FreeOrders = f.MarksCold, f.TellsCrowd, f.FreeLoads
-	s.OrderShare, s.OrderWindow = f.LoadShare, seconds(f.LoadPeriod)
-	s.OrderTimeout = time.Duration(f.OrderLimit * float64(time.Second))
+	contract := b.Contract
+	s.AnswerSlack, s.DrainGrace = seconds(contract.AnswerSlack), seconds(contract.DrainGrace)
+	s.ColdFrom, s.ColdFor = contract.ColdFrom, seconds(contract.Cold)
+	s.FallMultiple, s.FallFor = contract.FallMultiple, seconds(contract.Fall)
+	family := b.Family
+	s.KeepAlive, s.Orders, s.LoadsOnMiss = seconds(family.Keep), family.Orders, family.NotLoaded != "miss"
+	s.MarksCold, s.TellsCrowd, s.FreeOrders = family.MarksCold, family.TellsCrowd, family.FreeLoads
+	s.OrderShare, s.OrderWindow = family.LoadShare, seconds(family.LoadPeriod)
+	s.OrderTimeout = time.Duration(family.OrderLimit * float64(time.Second))
 	site.readStats(b.Stats.How, b.Stats.Fields)
 	return site, nil
 }
 
 func seconds(x float64) time.Duration { return time.Duration(math.Round(x*1e6)) * time.Microsecond }
 
-// Class returns the index of a class.
+// Class returns the index of a class, and whether the site has it.
 func (s *Site) Class(name string) (int, bool) { return index(s.Classes, name) }
 
-// Tenant returns the index of a tenant. A site without tenants takes any name as its one.
+// Tenant returns the index of a tenant, and whether the site has it. A site without tenants accepts any name as index 0.
 func (s *Site) Tenant(name string) (int, bool) {
 	if len(s.Tenants) == 0 {
 		return 0, true
@@ -178,7 +179,7 @@
 	return max(0, i), i >= 0 && name != ""
 }
 
-// Hex16 reports whether s is 16 lower-case hex digits, as functions and request ids are.
+// Hex16 reports whether s is 16 lower-case hex digits, the form of functions and request IDs.
 func Hex16(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; (c < '0' || c > '9') && (c < 'a' || c > 'f') {
@@ -188,13 +189,13 @@
 	return len(s) == 16
 }
 
-// Word reports whether s may stand as a value on the lines spoken to workers: printable, at most so long, and
-// without blanks, commas and equals signs, which would read as something else there.
-func Word(s string, most int) bool {
+// IsToken reports whether s can be a value in the line protocol to workers: at most maxLength printable ASCII characters, without
+// blanks, commas and equals signs, which are separators there.
+func IsToken(s string, maxLength int) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 0x7f || c == ',' || c == '=' {
 			return false
 		}
 	}
-	return len(s) <= most
+	return len(s) <= maxLength
 }
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient tells the errors with which the system refuses a call for a moment, since this machine lacks something, from
-// those that stay, and has calls made again after them.
+// Package transient tells temporary errors of system calls, such as a lack of memory or descriptors on this machine, from permanent
+// ones, and retries calls that failed with a temporary error.
 package transient
 
 import (
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// pause is the time between two tries.
-const pause = 20 * time.Millisecond
+// retryInterval is the time between two attempts.
+const retryInterval = 20 * time.Millisecond
 
-// kinds are the errors that pass.
-var kinds = []error{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}
+// transientErrors are the errors that pass by themselves.
+var transientErrors = []error{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR}
 
-// Is reports whether an error, or one that it wraps, passes by itself.
+// Is reports whether an error, or one that it wraps, is transient.
 func Is(err error) bool {
-	return slices.ContainsFunc(kinds, func(kind error) bool { return errors.Is(err, kind) })
+	return slices.ContainsFunc(transientErrors, func(transient error) bool { return errors.Is(err, transient) })
 }
 
-// Retry calls try until it succeeds or fails for good, and returns its last error. What passes by itself is tried again for as
-// long as limit, with the calling goroutine blocked.
+// Retry calls try until it succeeds or fails with an error that is not transient, for limit at most, and returns its last error. It
+// blocks the calling goroutine meanwhile.
 func Retry(limit time.Duration, try func() error) error {
 	return RetryWhile(limit, Is, func(time.Duration) error { return try() })
 }
 
-// RetryWhile is Retry for errors that passes names, and with try told how much of the limit is left, at least 0.
-func RetryWhile(limit time.Duration, passes func(error) bool, try func(left time.Duration) error) error {
+// RetryWhile is Retry for the errors that isTransient accepts. It passes to try how much of the limit is left, at least 0.
+func RetryWhile(limit time.Duration, isTransient func(error) bool, try func(left time.Duration) error) error {
 	end := time.Now().Add(limit)
 	for {
 		err := try(max(0, time.Until(end)))
-		if err == nil || !passes(err) || time.Until(end) < pause {
+		if err == nil || !isTransient(err) || time.Until(end) < retryInterval {
 			return err
 		}
-		time.Sleep(pause)
+		time.Sleep(retryInterval)
 	}
 }
--- a/internal/wire/form/form.go
+++ b/internal/wire/form/form.go
@@ -49,7 +49,7 @@
 	if call.Tenant, ok = site.Tenant(r.Tenant); !ok {
 		return call, errors.New("unknown tenant")
 	}
-	if !settings.Word(r.Key, maxKeySize) {
+	if !settings.IsToken(r.Key, maxKeySize) {
 		return call, errors.New("the key is not a word of up to 128 characters")
 	}
 	if r.Key == "" && site.Keyed(call.Class) {
--- a/internal/wire/httpfront/answer.go
+++ b/internal/wire/httpfront/answer.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if len(c.out) == 0 {
-		c.f.loop.Dirty(c.flush)
+		c.f.loop.DeferFlush(c.flush)
 	}
 	c.out = append(c.out, "HTTP/1.1 "...)
 	c.out = strconv.AppendInt(c.out, int64(status), 10)
@@ -121,8 +121,8 @@
 	c.next()
 }
 
-// Left reports whether the client is known to have closed its connection.
-func (x *exchange) Left() bool { return x.c.left.Load() }
+// ClientGone reports whether the client is known to have closed its connection.
+func (x *exchange) ClientGone() bool { return x.c.left.Load() }
 
 // Served passes on the worker's body unchanged.
 func (x *exchange) Served(body []byte) {
@@ -178,6 +178,6 @@
 	if err != nil {
 		return call, bad(400, "%v", err)
 	}
-	call.Body, call.Came = r.Body, r.Came
+	call.Body, call.Received = r.Body, r.Came
 	return call, nil
 }
--- a/internal/wire/httpfront/close.go
+++ b/internal/wire/httpfront/close.go
@@ -46,7 +46,7 @@
 	open := c.open != nil
 	if x := c.open; x != nil {
 		c.open = nil
-		c.f.core.Gone(x.req)
+		c.f.core.ClientGone(x.req)
 	}
 	c.f.log.Debug("client connection closed", zap.String("why", string(c.why)), zap.Bool("open", open),
 		zap.Int("waiting", len(c.queue)), zap.Error(err))
--- a/internal/wire/httpfront/conn.go
+++ b/internal/wire/httpfront/conn.go
@@ -199,7 +199,7 @@
 	call.Reply = x
 	c.open = x
 	c.f.loop.Cancel(c.timer)
-	if ref := c.f.core.Take(call); c.open == x {
+	if ref := c.f.core.Submit(call); c.open == x {
 		x.req = ref
 	}
 }
--- a/internal/wire/httpfront/front.go
+++ b/internal/wire/httpfront/front.go
@@ -37,8 +37,8 @@
 
 // Taker is the part of the core that a front needs.
 type Taker interface {
-	Take(core.Call) core.Ref
-	Gone(core.Ref)
+	Submit(core.Call) core.Ref
+	ClientGone(core.Ref)
 	Count(class int, answer string) // of a call that the front has answered
 }
 
--- a/internal/wire/httpfront/httpfront_test.go
+++ b/internal/wire/httpfront/httpfront_test.go
@@ -24,11 +24,11 @@
 
 func (t *taker) Count(_ int, answer string) { t.count = append(t.count, answer) }
 
-func (t *taker) Take(c core.Call) core.Ref {
+func (t *taker) Submit(c core.Call) core.Ref {
 	t.calls = append(t.calls, c)
 	return core.Ref(len(t.calls))
 }
-func (t *taker) Gone(r core.Ref) { t.gone = append(t.gone, r) }
+func (t *taker) ClientGone(r core.Ref) { t.gone = append(t.gone, r) }
 
 // dial opens a client's connection to a front.
 func dial(w *wiretest.World, f *Front) *wiretest.Peer {
--- a/internal/wire/httpfront/left_test.go
+++ b/internal/wire/httpfront/left_test.go
@@ -21,12 +21,12 @@
 	w.Run()
 	say(w, p, post)
 	reply := k.calls[0].Reply
-	if reply.Left() {
+	if reply.ClientGone() {
 		t.Error("a client that waits is said to have left")
 	}
 	handler.Closed(io.EOF)
-	if !reply.Left() || len(k.gone) != 0 {
-		t.Errorf("left %v, told as gone %d times before the turn", reply.Left(), len(k.gone))
+	if !reply.ClientGone() || len(k.gone) != 0 {
+		t.Errorf("left %v, told as gone %d times before the turn", reply.ClientGone(), len(k.gone))
 	}
 	if w.Run(); len(k.gone) != 1 {
 		t.Errorf("told as gone %d times", len(k.gone))
--- a/internal/wire/httpfront/model_test.go
+++ b/internal/wire/httpfront/model_test.go
@@ -90,7 +90,7 @@
 	i := open[which%len(open)]
 	m.answered[i] = true
 	m.taker.calls[i].Reply.Served([]byte(m.taker.calls[i].ID))
-	m.taker.calls[i].Reply.Failed(core.Broken)
+	m.taker.calls[i].Reply.Failed(core.GivenUp)
 	m.run()
 }
 
--- a/internal/wire/mqtt/delivery.go
+++ b/internal/wire/mqtt/delivery.go
@@ -30,12 +30,12 @@
 	if d.to != "" {
 		m := Message{Topic: d.to, Payload: a.Body}
 		m.Props = Props{Correlation: d.corr, Expiry: uint32(replyLife / time.Second), HasExpiry: true,
-			User: []Pair{{"outcome", a.What}}}
-		if a.What == refused {
-			m.Props.User = append(m.Props.User, Pair{"retry-after-ms", strconv.FormatInt(a.Pause.Milliseconds(), 10)})
+			User: []Pair{{"outcome", a.Kind}}}
+		if a.Kind == refused {
+			m.Props.User = append(m.Props.User, Pair{"retry-after-ms", strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)})
 		}
-		if a.Why != "" {
-			m.Props.User = append(m.Props.User, Pair{"reason", a.Why})
+		if a.Reason != "" {
+			m.Props.User = append(m.Props.User, Pair{"reason", a.Reason})
 		}
 		d.f.session.Publish(m, func(reason byte, err error) {
 			switch {
@@ -61,13 +61,13 @@
 
 func (x *exchange) close(a core.Answer) { x.keys.Close(x.key, x.entry, a, x.keep) }
 
-// Left is false: who asked by a message has its outcome recorded whether or not it still listens.
-func (x *exchange) Left() bool { return false }
+// ClientGone is false: who asked by a message has its outcome recorded whether or not it still listens.
+func (x *exchange) ClientGone() bool { return false }
 
-func (x *exchange) Served(body []byte) { x.close(core.Answer{What: served, Body: body}) }
+func (x *exchange) Served(body []byte) { x.close(core.Answer{Kind: served, Body: body}) }
 
 func (x *exchange) Refused(pause time.Duration, why string) {
-	x.close(core.Answer{What: refused, Pause: pause, Why: why})
+	x.close(core.Answer{Kind: refused, RetryAfter: pause, Reason: why})
 }
 
 func (x *exchange) Failed(why core.Failure) {
@@ -78,5 +78,5 @@
 	if why == core.Duplicate {
 		text = "the id is that of an open call"
 	}
-	x.close(core.Answer{What: failed, Why: text})
+	x.close(core.Answer{Kind: failed, Reason: text})
 }
--- a/internal/wire/mqtt/front.go
+++ b/internal/wire/mqtt/front.go
@@ -31,7 +31,7 @@
 
 // Taker is the part of the core that a front needs.
 type Taker interface {
-	Take(core.Call) core.Ref
+	Submit(core.Call) core.Ref
 	Count(class int, answer string) // of a call that the front has answered
 }
 
@@ -96,7 +96,7 @@
 	call, err := f.call(p)
 	if err != nil {
 		f.log.Info("bad call", zap.String("topic", p.Topic), zap.Error(err))
-		d.answer(core.Answer{What: failed, Why: err.Error()})
+		d.answer(core.Answer{Kind: failed, Reason: err.Error()})
 		return
 	}
 	keyed := f.site.Decide.Classes[call.Class].Effect != decide.Safe
@@ -112,12 +112,12 @@
 		keys = f.keys
 	}
 	e := keys.Find(key)
-	if e != nil && e.What != what {
-		d.answer(core.Answer{What: failed, Why: "the key was used for another call"})
+	if e != nil && e.Target != what {
+		d.answer(core.Answer{Kind: failed, Reason: "the key was used for another call"})
 		return
 	}
-	if e != nil && e.Done && e.Answer.What == refused && !p.Dup() {
-		keys.Renew(key, e) // nothing ran, and the client has come again
+	if e != nil && e.Done && e.Answer.Kind == refused && !p.Dup() {
+		keys.Forget(key, e) // nothing ran, and the client has come again
 		e = nil
 	}
 	if e != nil {
@@ -130,7 +130,7 @@
 	}
 	if f.away && !(keyed && p.Dup()) { // nothing ran, and nothing is remembered of it
 		f.core.Count(call.Class, refused)
-		d.answer(core.Answer{What: refused, Pause: awayPause})
+		d.answer(core.Answer{Kind: refused, RetryAfter: awayPause})
 		return
 	}
 	listed := false
@@ -141,11 +141,11 @@
 	if e == nil && key != "" && keyed {
 		f.log.Warn("no room for another key", zap.Int("keys", keys.Len()))
 		f.core.Count(call.Class, refused)
-		d.answer(core.Answer{What: refused, Pause: f.site.Decide.MaxRetryAfter})
+		d.answer(core.Answer{Kind: refused, RetryAfter: f.site.Decide.MaxRetryAfter})
 		return
 	}
 	if e == nil { // nothing tells this call from another, or a safe one found no room
-		e = &core.Entry{What: what}
+		e = &core.Entry{Target: what}
 	}
 	e.Join(d.answer)
 	x := &exchange{keys: keys, key: key, entry: e, keep: listed}
@@ -156,12 +156,12 @@
 			f.log.Warn("call delivered again, and its key is not known: it may have run", zap.String("key", call.Key))
 			f.record(&call)
 			f.core.Count(call.Class, failed)
-			x.close(core.Answer{What: failed, Why: "delivered again, and may have run before this gateway started"})
+			x.close(core.Answer{Kind: failed, Reason: "delivered again, and may have run before this gateway started"})
 			return
 		}
 	}
 	call.Reply = x
-	f.core.Take(call)
+	f.core.Submit(call)
 }
 
 // call reads a call from a message.
@@ -186,7 +186,7 @@
 	case len(p.Payload) > maxBody:
 		return call, fmt.Errorf("a body of more than %d bytes", maxBody)
 	}
-	call.Body, call.Came = p.Payload, p.Came
+	call.Body, call.Received = p.Payload, p.Came
 	return call, nil
 }
 
--- a/internal/wire/mqtt/fuzz_test.go
+++ b/internal/wire/mqtt/fuzz_test.go
@@ -57,7 +57,7 @@
 				t.Errorf("%s has %d outcomes", k, n)
 			}
 		}
-		if n := s.core.Open(); n > 0 {
+		if n := s.core.InFlight(); n > 0 {
 			t.Errorf("%d calls still open", n)
 		}
 	})
--- a/internal/wire/mqtt/link.go
+++ b/internal/wire/mqtt/link.go
@@ -32,7 +32,7 @@
 // may have run. What is out when the connection is lost ends as reset instead.
 type Link struct {
 	loop    *core.Loop
-	ends    core.Ends
+	ends    core.ResultHandler
 	log     *zap.Logger
 	session *Session
 	tell    func(whole bool, members []core.Member)
@@ -65,7 +65,7 @@
 }
 
 // Serve says who takes the ends.
-func (l *Link) Serve(e core.Ends) { l.ends = e }
+func (l *Link) Serve(e core.ResultHandler) { l.ends = e }
 
 // Connect begins.
 func (l *Link) Connect() { l.session.Connect() }
@@ -94,7 +94,7 @@
 func (l *Link) end(ref core.Ref, how decide.Outcome, note decide.Note, body []byte) {
 	if _, ok := l.open[ref]; ok {
 		delete(l.open, ref)
-		l.ends.Ended(ref, core.End{How: how, Note: note, Body: body})
+		l.ends.Ended(ref, core.AttemptResult{Outcome: how, Note: note, Body: body})
 	}
 }
 
@@ -102,7 +102,7 @@
 func (l *Link) Send(a core.Attempt) {
 	w := l.workers[a.Host]
 	if w == nil || !l.session.Up() {
-		l.ends.Ended(a.Ref, core.End{How: decide.NoConn})
+		l.ends.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
 		return
 	}
 	s := &sending{worker: a.Host}
@@ -148,8 +148,8 @@
 	}
 }
 
-// Unsend takes an attempt back that has not been published yet.
-func (l *Link) Unsend(_ string, ref core.Ref) bool {
+// WithdrawAttempt takes an attempt back that has not been published yet.
+func (l *Link) WithdrawAttempt(_ string, ref core.Ref) bool {
 	s, ok := l.open[ref]
 	if !ok || !l.session.Withdraw(s.pending) {
 		return false
@@ -158,8 +158,8 @@
 	return true
 }
 
-// Withdraw takes back the calls that have not been published yet to workers that may get nothing new.
-func (l *Link) Withdraw(mayGet func(worker string) bool) {
+// WithdrawUnwritten takes back the calls that have not been published yet to workers that may get nothing new.
+func (l *Link) WithdrawUnwritten(mayGet func(worker string) bool) {
 	for _, ref := range slices.Sorted(maps.Keys(l.open)) {
 		if s := l.open[ref]; !mayGet(s.worker) && l.session.Withdraw(s.pending) {
 			l.end(ref, decide.Nop, decide.NoNote, nil)
@@ -211,5 +211,5 @@
 // Release has nothing to release: the session is one for all workers.
 func (l *Link) Release(string) {}
 
-// List is not needed: the workers are named in the file.
-func (l *Link) List(bool, []core.Member) {}
+// ApplyList is not needed: the workers are named in the file.
+func (l *Link) ApplyList(bool, []core.Member) {}
--- a/internal/wire/mqtt/mqtt_test.go
+++ b/internal/wire/mqtt/mqtt_test.go
@@ -29,7 +29,7 @@
 	s.want("outcome c2", "served")
 	s.want("outcome c3", "refused")
 	s.ran("k3", 0)
-	if f := s.core.Figures(); f.Classes[1].Shed != 1 || f.Classes[1].OK != 2 || f.Active != 0 {
+	if f := s.core.Metrics(); f.Classes[1].Shed != 1 || f.Classes[1].OK != 2 || f.Active != 0 {
 		t.Errorf("figures %+v", f)
 	}
 	s.front.Resume()
--- a/internal/wire/mqtt/session.go
+++ b/internal/wire/mqtt/session.go
@@ -115,7 +115,7 @@
 
 func (s *Session) write(b []byte) {
 	if len(s.out) == 0 {
-		s.loop.Dirty(s.Flush)
+		s.loop.DeferFlush(s.Flush)
 	}
 	s.out = append(s.out, b...)
 }
--- a/internal/wire/mqtt/session_test.go
+++ b/internal/wire/mqtt/session_test.go
@@ -51,7 +51,7 @@
 
 type ends func(decide.Outcome)
 
-func (e ends) Ended(_ core.Ref, end core.End) { e(end.How) }
+func (e ends) Ended(_ core.Ref, end core.AttemptResult) { e(end.Outcome) }
 
 func (e ends) Probed(_ core.Ref, how decide.Outcome, _ *decide.Report) { e(how) }
 
@@ -74,7 +74,7 @@
 
 func (e echo) Count(int, string) {}
 
-func (e echo) Take(c core.Call) core.Ref { e.runs[c.Key]++; c.Reply.Served(c.Body); return 0 }
+func (e echo) Submit(c core.Call) core.Ref { e.runs[c.Key]++; c.Reply.Served(c.Body); return 0 }
 
 // The front on loopback: a keyed call whose acknowledgement is lost is delivered again after the connection broke,
 // and answered from memory.
@@ -107,7 +107,7 @@
 				return
 			}
 			loop.Wait()
-			loop.Turn()
+			loop.RunOnce()
 		}
 	}
 	until(func() bool { return f.Up() && len(b.sessions["gw"].filters) > 0 })
@@ -121,7 +121,7 @@
 	mu.Unlock()
 	until(func() bool { return !f.Up() })
 	now += retryFirst
-	loop.Turn() // the backoff is over
+	loop.RunOnce() // the backoff is over
 	until(func() bool { return len(b.published) == 2 && f.Waiting() == 0 })
 	if runs.runs["k"] != 1 || b.published[1].Props.Get("outcome") != "served" || b.connects != 2 {
 		t.Errorf("ran %v, %d connects, answers %+v", runs.runs, b.connects, b.published)
--- a/internal/wire/mqtt/stage_test.go
+++ b/internal/wire/mqtt/stage_test.go
@@ -118,7 +118,7 @@
 		s.records["record "+r.Call.Key] = append(s.records["record "+r.Call.Key], r.Answer)
 		s.perLife[fmt.Sprint(life, r.Call.Key)]++
 	}
-	tell := func(whole bool, members []core.Member) { s.core.List(whole, members) }
+	tell := func(whole bool, members []core.Member) { s.core.ApplyList(whole, members) }
 	s.link = NewLink(s.Loop, s, Options{Broker: "jobs", ClientID: "gw", KeepAlive: 20 * time.Second}, "answers/gw",
 		[]Worker{{Name: Prefix + "w1", Topic: "w1/calls", StatusTopic: "w1/status"}}, uint64(s.life), tell, s.Log())
 	var err error
--- a/internal/wire/opfront/front.go
+++ b/internal/wire/opfront/front.go
@@ -55,7 +55,7 @@
 // Accept takes a new connection; called on an I/O goroutine.
 func (f *Front) Accept(s sock.Conn) sock.Handler {
 	c := &conn{f: f, sock: s}
-	f.loop.PostFirst(c.opened)
+	f.loop.PostUrgent(c.opened)
 	return c
 }
 
@@ -63,12 +63,12 @@
 	call, done, err := c.parser.Feed(b)
 	if done {
 		exact := c.parser.Exact()
-		c.f.loop.PostFirst(func() { c.take(call, exact, err) })
+		c.f.loop.PostUrgent(func() { c.take(call, exact, err) })
 	}
 	return nil
 }
 
-func (c *conn) Closed(error) { c.f.loop.PostFirst(c.closed) }
+func (c *conn) Closed(error) { c.f.loop.PostUrgent(c.closed) }
 
 func (c *conn) opened() {
 	if c.gone {
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -49,7 +49,7 @@
 
 // Run delivers and takes turns until nothing is left to do at this time.
 func (w *World) Run() {
-	w.Loop.Turn()
+	w.Loop.RunOnce()
 	for n := 0; len(w.steps) > 0; n++ {
 		if n > 1e5 {
 			w.T.Fatal("the world does not come to rest")
@@ -57,7 +57,7 @@
 		step := w.steps[0]
 		w.steps = w.steps[1:]
 		step()
-		w.Loop.Turn()
+		w.Loop.RunOnce()
 	}
 }
 
@@ -209,7 +209,7 @@
 // Site is a small site: a safe and a keyed class, two tenants.
 func Site() *settings.Site {
 	return &settings.Site{Classes: []string{"read", "command"}, Tenants: []string{"a", "b"}, Zones: []string{"x", "y"},
-		Kinds: []string{"std"}, ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond, Streams: 2,
+		Kinds: []string{"std"}, ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond, StreamsPerConn: 2,
 		Decide: decide.Settings{
 			Classes: []decide.Class{
 				{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: decide.Safe, Window: 5 * time.Second},
@@ -231,8 +231,8 @@
 	HasLeft bool // the caller waits no longer, though the core has not been told
 }
 
-// Left says what the test has set.
-func (r *Replies) Left() bool { return r.HasLeft }
+// ClientGone says what the test has set.
+func (r *Replies) ClientGone() bool { return r.HasLeft }
 
 // Served notes the answer and its body.
 func (r *Replies) Served(body []byte) {
--- a/internal/wire/workerlink/answer.go
+++ b/internal/wire/workerlink/answer.go
@@ -75,7 +75,7 @@
 		c.forget(a.ID, ref)
 		c.retire(a.ID)
 		c.rest()
-		c.p.ends.Ended(ref, core.End{How: how, Note: note, Body: a.Body, Report: c.p.set.Report(a.Use, ";")})
+		c.p.ends.Ended(ref, core.AttemptResult{Outcome: how, Note: note, Body: a.Body, Report: c.p.set.Report(a.Use, ";")})
 	} else if ref, ok := c.orders[a.ID]; ok {
 		delete(c.orders, a.ID)
 		c.retire(a.ID)
--- a/internal/wire/workerlink/conn.go
+++ b/internal/wire/workerlink/conn.go
@@ -80,7 +80,7 @@
 	if c.ready {
 		c.p.loop.Cancel(c.timer)
 		if c.out.empty() {
-			c.p.loop.Dirty(c.flush)
+			c.p.loop.DeferFlush(c.flush)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	c.p.loop.Cancel(c.timer)
 	if c.idle() {
 		if c.quiet { // nothing is lost with it, and it may never speak again
-			c.p.loop.Dirty(func() { // once the CANCEL is written
+			c.p.loop.DeferFlush(func() { // once the CANCEL is written
 				if c.quiet && c.idle() {
 					c.fail(decide.Reset, errors.New("silent"))
 				}
@@ -152,7 +152,7 @@
 			continue
 		}
 		c.forget(m.id, m.ref)
-		c.p.ends.Ended(m.ref, core.End{How: decide.Nop})
+		c.p.ends.Ended(m.ref, core.AttemptResult{Outcome: decide.Nop})
 	}
 	if len(taken) > 0 {
 		c.rest()
@@ -171,7 +171,7 @@
 	c.rest()
 }
 
-// giveUp ends an attempt that nobody waits for.
+// abandon ends an attempt that nobody waits for.
 func (c *conn) giveUp(id string, ref core.Ref) {
 	if c.out.takeBack(ref) {
 		c.drop(id, ref)
@@ -231,9 +231,9 @@
 		}
 	}
 	for _, ref := range slices.Sorted(maps.Values(c.open)) {
-		end := core.End{How: how, Note: cause(why)}
+		end := core.AttemptResult{Outcome: how, Note: cause(why)}
 		if unwritten[ref] {
-			end.How = decide.NoConn
+			end.Outcome = decide.NoConn
 		}
 		c.p.ends.Ended(ref, end)
 	}
--- a/internal/wire/workerlink/list_test.go
+++ b/internal/wire/workerlink/list_test.go
@@ -24,7 +24,7 @@
 			if rng.IntN(3) == 0 {
 				r.send(fmt.Sprint("w", rng.IntN(8)), "")
 			}
-			r.pool.List(rng.IntN(5) == 0, members)
+			r.pool.ApplyList(rng.IntN(5) == 0, members)
 			r.Run()
 			chained := map[*host]bool{}
 			for addr, first := range r.pool.at {
--- a/internal/wire/workerlink/model_test.go
+++ b/internal/wire/workerlink/model_test.go
@@ -45,8 +45,8 @@
 // list tells of a worker's state, as the core does: first the list, then what may not be written any more.
 func (m *model) list(host, addr string, state decide.HostState, since time.Duration) {
 	m.drains[host] = state != decide.Ready
-	m.pool.List(false, []core.Member{member(host, addr, state, since)})
-	m.pool.Withdraw(func(worker string) bool { return !m.drains[worker] })
+	m.pool.ApplyList(false, []core.Member{member(host, addr, state, since)})
+	m.pool.WithdrawUnwritten(func(worker string) bool { return !m.drains[worker] })
 	for _, p := range m.peers[addr] {
 		p.Take() // what was on its way before the drain
 	}
--- a/internal/wire/workerlink/orders_test.go
+++ b/internal/wire/workerlink/orders_test.go
@@ -38,7 +38,7 @@
 func TestLoadReports(t *testing.T) {
 	r := newRig(t)
 	set := wiretest.Site()
-	set.Reports = []string{"queue", "inflight"}
+	set.ReportFields = []string{"queue", "inflight"}
 	r.pool.set = set
 	for use, want := range map[string]float64{",use=inflight:7;queue:1": 7, ",use=inflight:x": -2, "": -2, ",use=inflight:1;inflight:1;queue:3": -1} {
 		ref := r.send("wa", "")
@@ -86,7 +86,7 @@
 	p.Close()
 	r.Run()
 	r.want(103, decide.Reset)
-	r.pool.set.Reports = []string{"queue"}
+	r.pool.set.ReportFields = []string{"queue"}
 	r.pool.Probe(104, "wb")
 	r.Run()
 	if got := r.peers["b:1"][0].Take(); got != "STATS probe-68\r\n" {
--- a/internal/wire/workerlink/pool.go
+++ b/internal/wire/workerlink/pool.go
@@ -26,7 +26,7 @@
 	loop  *core.Loop
 	net   sock.Dialer
 	set   *settings.Site
-	ends  core.Ends
+	ends  core.ResultHandler
 	log   *zap.Logger
 	hosts map[string]*host
 	at    map[string]*host // by address: the first of those that have it, linked by next
@@ -40,10 +40,10 @@
 }
 
 // Limit changes how many connections are held at most.
-func (p *Pool) Limit(n int) { p.conns.Limit(n) }
+func (p *Pool) Limit(n int) { p.conns.SetLimit(n) }
 
 // Serve says who takes the ends.
-func (p *Pool) Serve(e core.Ends) { p.ends = e }
+func (p *Pool) Serve(e core.ResultHandler) { p.ends = e }
 
 // Conns is the number of connections, those still to come up included.
 func (p *Pool) Conns() int { return p.conns.Len() }
@@ -57,10 +57,10 @@
 	next       *host // with the same address
 }
 
-// List takes the workers' addresses. A worker that restarted or moved, or whose address another one has taken,
+// ApplyList takes the workers' addresses. A worker that restarted or moved, or whose address another one has taken,
 // has its connections closed: nothing that is still said on them may count for the new one. The work follows from what is told,
 // not from the length of the list.
-func (p *Pool) List(whole bool, members []core.Member) {
+func (p *Pool) ApplyList(whole bool, members []core.Member) {
 	if whole {
 		for _, h := range p.hosts {
 			p.depart(h)
@@ -137,9 +137,9 @@
 	}
 }
 
-// Withdraw takes back the calls and orders that are not written yet to workers that may get nothing new: their connection
+// WithdrawUnwritten takes back the calls and orders that are not written yet to workers that may get nothing new: their connection
 // may come up, or take them, when it is too late.
-func (p *Pool) Withdraw(mayGet func(worker string) bool) {
+func (p *Pool) WithdrawUnwritten(mayGet func(worker string) bool) {
 	p.conns.Each(func(_ core.Ref, c *conn) {
 		if !c.out.empty() && !mayGet(c.h.name) {
 			c.withdraw()
--- a/internal/wire/workerlink/send.go
+++ b/internal/wire/workerlink/send.go
@@ -12,12 +12,12 @@
 func (p *Pool) Send(a core.Attempt) {
 	h := p.hosts[a.Host]
 	if h == nil {
-		p.ends.Ended(a.Ref, core.End{How: decide.NoConn})
+		p.ends.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
 		return
 	}
 	c := p.forCall(h, a.Call.ID)
 	if c == nil {
-		p.ends.Ended(a.Ref, core.End{How: decide.NoConn})
+		p.ends.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
 		return
 	}
 	c.busy()
@@ -35,12 +35,12 @@
 		return true
 	}
 	call := m.call.Call
-	return m.kind == callMessage && (call.Reply != nil && call.Reply.Left() || m.call.Budget(p.loop) < time.Millisecond)
+	return m.kind == callMessage && (call.Reply != nil && call.Reply.ClientGone() || m.call.Budget(p.loop) < time.Millisecond)
 }
 
 // forCall returns the connection that a call under this id goes out on, nil if there can be none.
 func (p *Pool) forCall(h *host, id string) *conn {
-	streams := max(1, p.set.Streams)
+	streams := max(1, p.set.StreamsPerConn)
 	with := func(most int) *conn {
 		return h.pick(func(c *conn) bool {
 			_, twice := c.open[id]
@@ -67,8 +67,8 @@
 	}
 }
 
-// Unsend takes an attempt back if it has not been written yet, and reports whether it could.
-func (p *Pool) Unsend(name string, ref core.Ref) bool {
+// WithdrawAttempt takes an attempt back if it has not been written yet, and reports whether it could.
+func (p *Pool) WithdrawAttempt(name string, ref core.Ref) bool {
 	c, id := p.carrier(name, ref)
 	if c == nil || !c.out.takeBack(ref) {
 		return false
@@ -129,7 +129,7 @@
 	}
 	tag := "probe-" + strconv.FormatUint(uint64(ref), 16)
 	word := "PING"
-	if len(p.set.Reports) > 0 {
+	if len(p.set.ReportFields) > 0 {
 		word = "STATS"
 	}
 	c.busy()
--- a/internal/wire/workerlink/unwritten_test.go
+++ b/internal/wire/workerlink/unwritten_test.go
@@ -22,7 +22,7 @@
 	a, _ := call(90, "wa", "first")
 	r.pool.Send(a)
 	r.pool.Load(91, "wa", "00000000000000ff", 1)
-	r.pool.Withdraw(func(worker string) bool { return worker != "wa" })
+	r.pool.WithdrawUnwritten(func(worker string) bool { return worker != "wa" })
 	r.Run()
 	if got := r.peers["a:1"][0].Take(); got != "" {
 		t.Errorf("sent %q", got)
@@ -55,7 +55,7 @@
 // the connection is closed, so that what it holds never arrives.
 func TestWorkerThatTakesNoBytes(t *testing.T) {
 	r := newRig(t)
-	r.pool.set.Streams = 9
+	r.pool.set.StreamsPerConn = 9
 	first := r.send("wa", "")
 	near := r.peers["a:1"][0].Far()
 	near.Slow = 1000
@@ -91,11 +91,11 @@
 	r := newRig(t)
 	a, _ := call(90, "wa", "first")
 	r.pool.Send(a)
-	if !r.pool.Unsend("wa", 90) || r.pool.Unsend("wa", 90) || r.pool.Unsend("nobody", 90) {
+	if !r.pool.WithdrawAttempt("wa", 90) || r.pool.WithdrawAttempt("wa", 90) || r.pool.WithdrawAttempt("nobody", 90) {
 		t.Error("an unwritten attempt is taken back once")
 	}
 	written := r.send("wa", "")
-	if r.pool.Unsend("wa", written) {
+	if r.pool.WithdrawAttempt("wa", written) {
 		t.Error("a written attempt was taken back")
 	}
 	if got := r.peers["a:1"][0].Take(); strings.Contains(got, "first") {
@@ -110,7 +110,7 @@
 	a, _ := call(90, "wa", "second")
 	r.pool.Send(a)
 	r.pool.Load(90, "wa", "00000000000000ff", 1)
-	r.pool.List(false, []core.Member{member("wa", "a:1", decide.Ready, 1)}) // started anew: its connections are closed
+	r.pool.ApplyList(false, []core.Member{member("wa", "a:1", decide.Ready, 1)}) // started anew: its connections are closed
 	r.want(90, decide.NoConn)
 	r.want(written, decide.Reset)
 }
--- a/internal/wire/workerlink/workerlink_test.go
+++ b/internal/wire/workerlink/workerlink_test.go
@@ -25,11 +25,11 @@
 	reports []*decide.Report
 }
 
-func (r *rig) Ended(ref core.Ref, e core.End) {
-	r.ends[ref], r.reports = append(r.ends[ref], e.How), append(r.reports, e.Report)
+func (r *rig) Ended(ref core.Ref, e core.AttemptResult) {
+	r.ends[ref], r.reports = append(r.ends[ref], e.Outcome), append(r.reports, e.Report)
 }
 func (r *rig) Probed(ref core.Ref, how decide.Outcome, report *decide.Report) {
-	r.Ended(ref, core.End{How: how, Report: report})
+	r.Ended(ref, core.AttemptResult{Outcome: how, Report: report})
 }
 func (r *rig) Wrote(n int) { r.wrote += n }
 func (r *rig) Loaded(_ core.Ref, how decide.Outcome, copies int) {
@@ -47,7 +47,7 @@
 			return p
 		})
 	}
-	r.pool.List(true, []core.Member{member("wa", "a:1", decide.Ready, 0), member("wb", "b:1", decide.Ready, 0)})
+	r.pool.ApplyList(true, []core.Member{member("wa", "a:1", decide.Ready, 0), member("wb", "b:1", decide.Ready, 0)})
 	return r
 }
 
@@ -123,7 +123,7 @@
 // A connection that breaks takes along what is open on it, so calls are spread; all streams serve before a call fails.
 func TestCallsAreSpreadOverConnections(t *testing.T) {
 	r := newRig(t)
-	r.pool.set.Streams = 2 * spreadWith
+	r.pool.set.StreamsPerConn = 2 * spreadWith
 	for i := range spreadOver * spreadWith {
 		r.send("wa", "")
 		if n := len(r.peers["a:1"]); n != 1+i/spreadWith {
@@ -170,11 +170,11 @@
 func TestAddressUsedAgain(t *testing.T) {
 	r := newRig(t)
 	old := r.send("wa", "")
-	r.pool.List(false, []core.Member{member("wa", "a:1", decide.Gone, 0), member("wc", "a:1", decide.Ready, time.Hour)})
+	r.pool.ApplyList(false, []core.Member{member("wa", "a:1", decide.Gone, 0), member("wc", "a:1", decide.Ready, time.Hour)})
 	r.Run()
 	r.want(old, decide.Reset)
 	ref := r.send("wc", "")
-	r.pool.List(false, []core.Member{member("wc", "a:1", decide.Ready, 2*time.Hour)})
+	r.pool.ApplyList(false, []core.Member{member("wc", "a:1", decide.Ready, 2*time.Hour)})
 	r.want(ref, decide.Reset)
 }
 
