--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -50,7 +50,7 @@
 		workers = &confined{workers, g}
 	}
 	set := c.Site.Decide
-	set.ToldWithin = bulletin.ToldWithin
+	set.ToldWithin = bulletin.MaxPropagation
 	if g.core, err = core.New(loop, set, c.Seed, workers, observe, log.Named("core")); err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 			log.Warn("what the module had learnt is not taken over", zap.Error(err))
 		}
 	}
-	g.pool.Serve(g.core)
+	g.pool.SetReceiver(g.core)
 	if g.link != nil {
 		g.link.Serve(g.core)
 	}
@@ -89,9 +89,9 @@
 		}
 	}
 	g.feed = bulletin.NewFeed(loop, net, c.Bulletin, c.Site, c.Last, told, log.Named("bulletin"))
-	g.feed.Current = g.core.ListCurrent
+	g.feed.OnListCurrent = g.core.ListCurrent
 	if g.node != nil {
-		g.feed.Heard = g.recovery.Current
+		g.feed.OnReceived = g.recovery.Current
 	}
 	g.known, g.told = c.Known, told
 	return nil
@@ -100,7 +100,7 @@
 // follow begins to follow the list.
 func (g *Gateway) follow() {
 	for _, e := range g.known {
-		g.told(e.Whole, e.Members)
+		g.told(e.Complete, e.Members)
 	}
 	g.known = nil
 	g.core.ListCurrent(g.began) // what the configuration holds is as of the start
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -58,7 +58,7 @@
 	}
 	c := *g.conf
 	if b.List != nil {
-		c.Known, c.Last = []bulletin.Event{{No: b.Event, Whole: true, Members: b.List}}, b.Event
+		c.Known, c.Last = []bulletin.Event{{No: b.Event, Complete: true, Members: b.List}}, b.Event
 	}
 	if err := g.build(&c, handover.State{Roster: b.Roster, Module: b.Module}); err != nil {
 		return err
--- a/internal/lifecycle/never_twice_test.go
+++ b/internal/lifecycle/never_twice_test.go
@@ -107,7 +107,7 @@
 	if err != nil {
 		p.T.Fatal(err)
 	}
-	pool.Serve(c)
+	pool.SetReceiver(c)
 	front.Serve(c)
 	var list []core.Member
 	for i := range 6 {
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -99,7 +99,7 @@
 	if u.from != nil || u.to != nil {
 		part = 2
 	}
-	u.g.pool.Limit((c.Sockets - c.clients() - c.own()) / part)
+	u.g.pool.SetLimit((c.Sockets - c.clients() - c.own()) / part)
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryPart * float64(c.MemoryMB) * (1 << 20) / float64(part)))
 	}
--- a/internal/wire/bulletin/feed.go
+++ b/internal/wire/bulletin/feed.go
@@ -14,204 +14,218 @@
 )
 
 const (
-	connectLimit = 500 * time.Millisecond
-	settled      = 100 * time.Millisecond  // what was missed comes at once; else the next frame may take a second
-	silence      = 2500 * time.Millisecond // frames come each second: past this the connection is dead
-	retryFirst   = 50 * time.Millisecond   // an event counts as told 7 s after it was published, come or not
-	retryMost    = 500 * time.Millisecond
+	connectTimeout = 500 * time.Millisecond
+
+	// catchUpTime is how long after a connection was established all missed events have arrived: the bulletin sends them at once.
+	// Without missed events, the first frame may take a second.
+	catchUpTime = 100 * time.Millisecond
+
+	// silenceTimeout is how long a connection may go without a frame. The bulletin sends at least one a second.
+	silenceTimeout = 2500 * time.Millisecond
+
+	// Backoff between connects. It is short because an event counts as received MaxPropagation after it was published, whether or not it
+	// has arrived.
+	firstBackoff = 50 * time.Millisecond
+	maxBackoff   = 500 * time.Millisecond
 )
 
-// Feed follows the bulletin from the last event it has, over as many connections as it takes. It belongs to
-// the turn.
+// Feed follows the bulletin from the last event it has received, reconnecting as needed. It is used on the event loop only.
 type Feed struct {
-	loop *core.Loop
-	net  sock.Dialer
-	addr string
-	site *settings.Site
-	tell func(whole bool, members []core.Member)
-	log  *zap.Logger
-
-	// Heard, if set, is called whenever the bulletin has spoken, after what it said was told; also once a connection has
-	// stood for so long that nothing can have been missed.
-	Heard func()
-
-	// Current, if set, is told with each empty frame as of when the list is complete, after what came before was told.
-	Current func(asOf time.Duration)
-
-	last    uint64
-	tries   uint64    // counts connections, against late callbacks
-	try     uint64    // the one that is followed or tried, 0 for none
-	slow    *slowConn // one that may still speak, nil for none
-	conn    sock.Conn
-	watch   *core.Deadline
-	backoff time.Duration
-	lost    time.Duration // when the feed was lost, 0 while it runs
-	failed  int           // connections that failed since
-	said    time.Duration // when the loss was last logged
-	fresh   freshness     // of the connection
-	renewed time.Duration // when frames were last asked for anew because they came late
+	loop     *core.Loop
+	dialer   sock.Dialer
+	addr     string
+	site     *settings.Site
+	onChange func(complete bool, members []core.Member)
+	log      *zap.Logger
+
+	// OnReceived, if set, is called whenever frames have been received, after onChange was called for their events. It is also called
+	// catchUpTime after a connection was established, when no missed event can be outstanding.
+	OnReceived func()
+
+	// OnListCurrent, if set, is called with each empty frame, after onChange was called for the events before it. asOf is a time up to
+	// which the list is certain to be complete.
+	OnListCurrent func(asOf time.Duration)
+
+	lastEvent    uint64
+	dials        uint64    // number of dials so far, by which callbacks of earlier connections are recognized
+	dialNo       uint64    // dial of the current connection or connect, 0 for none
+	slow         *slowConn // earlier connection that may still receive frames, nil for none
+	conn         sock.Conn
+	timer        *core.Deadline // connect timeout, silence timeout or backoff
+	backoff      time.Duration
+	lostSince    time.Duration // when the feed was lost, 0 while it runs
+	failedDials  int           // connections that have failed since the loss
+	lossLoggedAt time.Duration // when the loss was last logged
+	freshness    freshness     // of the current connection
+	renewedAt    time.Duration // when a connection was last replaced because its frames may be old
 }
 
-// NewFeed returns a feed that tells the changes of the list after event last.
-func NewFeed(loop *core.Loop, net sock.Dialer, addr string, site *settings.Site, last uint64,
-	tell func(bool, []core.Member), log *zap.Logger) *Feed {
-	return &Feed{loop: loop, net: net, addr: addr, site: site, last: last, tell: tell, log: log, backoff: retryFirst}
+// NewFeed returns a feed that calls onChange for the changes of the list after lastEvent.
+func NewFeed(loop *core.Loop, dialer sock.Dialer, addr string, site *settings.Site, lastEvent uint64,
+	onChange func(bool, []core.Member), log *zap.Logger) *Feed {
+	return &Feed{loop: loop, dialer: dialer, addr: addr, site: site, lastEvent: lastEvent, onChange: onChange, log: log, backoff: firstBackoff}
 }
 
-// Last is the number of the last event taken.
-func (f *Feed) Last() uint64 { return f.last }
+// Last returns the number of the last event received.
+func (f *Feed) Last() uint64 { return f.lastEvent }
 
-// Connect begins to follow.
+// Connect starts to follow the bulletin, or dials it again.
 func (f *Feed) Connect() {
-	f.tries++
-	try := f.tries
-	f.try = try
-	f.watch = f.loop.After(connectLimit, func() { f.fail(try, errors.New("connect timed out")) })
-	f.net.Dial(f.addr, connectLimit, &reader{f: f, try: try, parser: Parser{Site: f.site}}, func(s sock.Conn, err error) {
-		f.loop.Post(func() { f.up(try, s, err) })
+	f.dials++
+	dialNo := f.dials
+	f.dialNo = dialNo
+	f.timer = f.loop.After(connectTimeout, func() { f.fail(dialNo, errors.New("connect timed out")) })
+	f.dialer.Dial(f.addr, connectTimeout, &reader{feed: f, dialNo: dialNo, parser: Parser{Site: f.site}}, func(conn sock.Conn, err error) {
+		f.loop.Post(func() { f.connected(dialNo, conn, err) })
 	})
 }
 
+// reader parses what a connection receives, on the I/O goroutine, and posts events to the event loop.
 type reader struct {
-	f      *Feed
-	try    uint64
+	feed   *Feed
+	dialNo uint64
 	parser Parser
 }
 
 func (r *reader) Data(b []byte) error {
-	var got []Event
-	err := r.parser.Feed(b, func(e Event) { got = append(got, e) })
-	r.f.loop.Post(func() { r.f.take(r.try, got, err) })
+	var events []Event
+	err := r.parser.Feed(b, func(e Event) { events = append(events, e) })
+	r.feed.loop.Post(func() { r.feed.receive(r.dialNo, events, err) })
 	return err
 }
 
 func (r *reader) Closed(err error) {
-	r.f.loop.Post(func() { r.f.fail(r.try, err) })
+	r.feed.loop.Post(func() { r.feed.fail(r.dialNo, err) })
 }
 
-func (f *Feed) up(try uint64, s sock.Conn, err error) {
-	if try != f.try || f.conn != nil {
-		if s != nil {
-			s.Close()
+// connected handles the result of a dial: it requests the events after lastEvent.
+func (f *Feed) connected(dialNo uint64, conn sock.Conn, err error) {
+	if dialNo != f.dialNo || f.conn != nil {
+		if conn != nil {
+			conn.Close()
 		}
 		return
 	}
 	if err != nil {
-		f.fail(try, err)
+		f.fail(dialNo, err)
 		return
 	}
-	f.conn = s
-	f.alive(try)
-	f.fresh.ask(f.loop.Now())
-	if _, err := s.Write(binary.BigEndian.AppendUint64(nil, f.last)); err != nil {
-		f.fail(try, err)
+	f.conn = conn
+	f.restartSilenceTimer(dialNo)
+	f.freshness.start(f.loop.Now())
+	if _, err := conn.Write(binary.BigEndian.AppendUint64(nil, f.lastEvent)); err != nil {
+		f.fail(dialNo, err)
 		return
 	}
-	if f.Heard != nil {
-		f.loop.After(settled, func() {
-			if try == f.try {
-				f.Heard()
+	if f.OnReceived != nil {
+		f.loop.After(catchUpTime, func() {
+			if dialNo == f.dialNo {
+				f.OnReceived()
 			}
 		})
 	}
 }
 
-func (f *Feed) alive(try uint64) {
-	f.loop.Cancel(f.watch)
-	f.watch = f.loop.After(silence, func() { f.silent(try) })
+// restartSilenceTimer restarts the silence timeout.
+func (f *Feed) restartSilenceTimer(dialNo uint64) {
+	f.loop.Cancel(f.timer)
+	f.timer = f.loop.After(silenceTimeout, func() { f.handleSilence(dialNo) })
 }
 
-func (f *Feed) take(try uint64, got []Event, err error) {
-	if f.slow != nil && try == f.slow.try && len(got) > 0 {
-		f.adopt()
+// receive handles the events of one read and the parser's error, if any.
+func (f *Feed) receive(dialNo uint64, events []Event, err error) {
+	if f.slow != nil && dialNo == f.slow.dialNo && len(events) > 0 {
+		f.adoptSlow()
 	}
-	if try != f.try {
+	if dialNo != f.dialNo {
 		return
 	}
-	if len(got) > 0 { // half an event, however slowly it goes on, is no sign of life
-		f.fresh.spoke = true
-		f.alive(try)
+	if len(events) > 0 { // a partial event does not restart the timeout, even if more of its bytes keep arriving
+		f.freshness.gotFrame = true
+		f.restartSilenceTimer(dialNo)
 	}
-	for _, e := range got {
-		f.back()
+	for _, e := range events {
+		f.noteReceived()
 		switch {
-		case e.Nothing:
-			f.beaten()
+		case e.Empty:
+			f.receiveHeartbeat()
 			continue
-		case e.No <= f.last: // told before
+		case e.No <= f.lastEvent: // received before
 			continue
-		case e.No != f.last+1 && !e.Whole:
-			f.fail(try, fmt.Errorf("event %d after %d", e.No, f.last))
+		case e.No != f.lastEvent+1 && !e.Complete:
+			f.fail(dialNo, fmt.Errorf("received event %d directly after event %d", e.No, f.lastEvent))
 			return
 		}
-		f.last = e.No
+		f.lastEvent = e.No
 		f.logChange(e)
-		f.tell(e.Whole, e.Members)
+		f.onChange(e.Complete, e.Members)
 	}
 	if err != nil {
-		f.fail(try, err)
-	} else if len(got) > 0 && f.Heard != nil {
-		f.Heard()
+		f.fail(dialNo, err)
+	} else if len(events) > 0 && f.OnReceived != nil {
+		f.OnReceived()
 	}
 }
 
-// beaten takes an empty frame. Where frames may be old, a new connection tells how old they are.
-func (f *Feed) beaten() {
+// receiveHeartbeat handles an empty frame. If the frames may be older than maxLag, it reconnects, since the frames of a new connection are
+// written after its request.
+func (f *Feed) receiveHeartbeat() {
 	now := f.loop.Now()
-	asOf := f.fresh.beaten(now)
-	if f.Current != nil {
-		f.Current(asOf)
-	}
-	if now-asOf > lagMost && now-f.renewed >= lagRenews {
-		f.renewed = now
-		f.log.Info("bulletin may lag, asked anew", zap.Duration("by", now-asOf), zap.Uint64("last", f.last))
-		f.drop()
+	asOf := f.freshness.heartbeat(now)
+	if f.OnListCurrent != nil {
+		f.OnListCurrent(asOf)
+	}
+	if now-asOf > maxLag && now-f.renewedAt >= renewInterval {
+		f.renewedAt = now
+		f.log.Info("bulletin may lag, asked anew", zap.Duration("by", now-asOf), zap.Uint64("last", f.lastEvent))
+		f.disconnect()
 		f.Connect()
 	}
 }
 
-func (f *Feed) fail(try uint64, why error) {
-	if f.slow != nil && try == f.slow.try {
+// fail handles the failure of a connection or a dial.
+func (f *Feed) fail(dialNo uint64, err error) {
+	if f.slow != nil && dialNo == f.slow.dialNo {
 		f.dropSlow()
 		return
 	}
-	if try == f.try {
-		f.again(why)
+	if dialNo == f.dialNo {
+		f.retry(err)
 	}
 }
 
-// again gives the connection or the connect under way up, and tries anew after a pause.
-func (f *Feed) again(why error) {
-	f.logLoss(why)
-	f.drop()
-	f.watch = f.loop.After(f.backoff, f.Connect)
-	f.backoff = min(2*f.backoff, retryMost)
+// retry closes the current connection or dial, and dials again after the backoff.
+func (f *Feed) retry(err error) {
+	f.logLoss(err)
+	f.disconnect()
+	f.timer = f.loop.After(f.backoff, f.Connect)
+	f.backoff = min(2*f.backoff, maxBackoff)
 }
 
-// Move follows the bulletin at another address from now on, from the last event taken. It guards against what a
-// new configuration brings: the old address tells nothing more, though its connection may stay open. Known is
-// what the new configuration holds; what the feed has not told yet of it is told at once.
+// Move switches to the bulletin at another address and continues after the last event received. It is called when the configuration has
+// changed: the old address sends no further events, although its connection may stay open. known holds the events in the new
+// configuration, of which those not received yet are applied at once.
 func (f *Feed) Move(addr string, known []Event) {
 	for _, e := range known {
-		if e.No > f.last && (e.Whole || e.No == f.last+1) {
-			f.last = e.No
-			f.tell(e.Whole, e.Members)
+		if e.No > f.lastEvent && (e.Complete || e.No == f.lastEvent+1) {
+			f.lastEvent = e.No
+			f.onChange(e.Complete, e.Members)
 		}
 	}
 	if addr == f.addr {
 		return
 	}
-	f.log.Info("bulletin moved", zap.String("from", f.addr), zap.String("to", addr), zap.Uint64("last", f.last))
-	f.addr, f.backoff = addr, retryFirst
+	f.log.Info("bulletin moved", zap.String("from", f.addr), zap.String("to", addr), zap.Uint64("last", f.lastEvent))
+	f.addr, f.backoff = addr, firstBackoff
 	f.dropSlow()
-	f.drop()
+	f.disconnect()
 	f.Connect()
 }
 
-// drop ends the connection, a connect under way or the pause before one; whatever still comes of it is too late.
-func (f *Feed) drop() {
-	f.try = 0
-	f.loop.Cancel(f.watch)
+// disconnect closes the connection, the dial in progress or the backoff before one. Its late callbacks are ignored.
+func (f *Feed) disconnect() {
+	f.dialNo = 0
+	f.loop.Cancel(f.timer)
 	if f.conn != nil {
 		f.conn.Close()
 		f.conn = nil
--- a/internal/wire/bulletin/freshness.go
+++ b/internal/wire/bulletin/freshness.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// ToldWithin is how long after it was published an event counts as told to every gateway, come or not.
-	ToldWithin = 7 * time.Second
+	// MaxPropagation is how long after its publication an event counts as received by every gateway, whether or not it has arrived.
+	MaxPropagation = 7 * time.Second
 
-	beat      = time.Second      // the bulletin sends an empty frame each
-	lagMost   = 2 * time.Second  // frames that may be older than this are asked for anew,
-	lagRenews = 10 * time.Second // once in so long
+	heartbeatInterval = time.Second      // interval at which the bulletin sends empty frames
+	maxLag            = 2 * time.Second  // a connection whose frames may be older than this is replaced
+	renewInterval     = 10 * time.Second // least time between two such replacements
 )
 
-// freshness reckons how old what a connection brings may be. Frames carry no time, and what is delayed on its way arrives
-// as steadily as what is not. But the first empty frame was written after the connection had asked, and each further one
-// a beat after the one before: so much is certain however late they arrive.
+// freshness computes how old the frames of a connection may be. Frames carry no time, and delayed frames arrive as regularly as others.
+// But the bulletin writes the first empty frame after the connection's request, and each further one a heartbeat interval after the
+// previous one. This gives the earliest time at which a frame can have been written, however late it arrives.
 type freshness struct {
-	asked time.Duration // when the connection asked for what it does not have
-	beats int           // empty frames since
-	spoke bool          // any whole frame has come
+	requestedAt time.Duration // when the connection requested the events after the last one received
+	heartbeats  int           // empty frames received since
+	gotFrame    bool          // a complete frame has been received
 }
 
-// ask notes that a connection has asked.
-func (f *freshness) ask(now time.Duration) { *f = freshness{asked: now} }
+// start records that a connection has sent its request.
+func (f *freshness) start(now time.Duration) { *f = freshness{requestedAt: now} }
 
-// beaten takes an empty frame and returns the latest time at which the list is sure to have been complete with what has come.
-func (f *freshness) beaten(now time.Duration) (asOf time.Duration) {
-	f.beats++
-	return min(now, f.asked+time.Duration(f.beats-1)*beat)
+// heartbeat counts an empty frame, and returns the latest time up to which the list received so far is certain to be complete.
+func (f *freshness) heartbeat(now time.Duration) (asOf time.Duration) {
+	f.heartbeats++
+	return min(now, f.requestedAt+time.Duration(f.heartbeats-1)*heartbeatInterval)
 }
--- a/internal/wire/bulletin/late_test.go
+++ b/internal/wire/bulletin/late_test.go
@@ -7,24 +7,25 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// late is a bulletin whose frames arrive so much later than they are written, on each connection from when it asked.
-type late struct {
-	*stand
-	by    time.Duration
-	due   map[*wiretest.Peer]time.Duration // when the next frame of a connection arrives
-	beats map[*wiretest.Peer]time.Duration
+// delayedFixture is a bulletin whose frames arrive with a delay. On each connection it writes the first frame when the connection is
+// established.
+type delayedFixture struct {
+	*fixture
+	delay       time.Duration
+	nextFrameAt map[*wiretest.Peer]time.Duration // when the next frame of a connection arrives
+	heartbeats  map[*wiretest.Peer]time.Duration // frames sent on a connection
 }
 
-// pass lets time pass with each connection's frames coming as they are due.
-func (l *late) pass(d time.Duration) {
+// passWithFrames lets time pass, and delivers each connection's frames when they are due.
+func (l *delayedFixture) passWithFrames(d time.Duration) {
 	for end := l.Now() + d; l.Now() < end; l.Pass(50 * time.Millisecond) {
 		for _, p := range l.peers {
-			if _, known := l.due[p]; !known {
-				l.due[p] = l.Now() + l.by
+			if _, known := l.nextFrameAt[p]; !known {
+				l.nextFrameAt[p] = l.Now() + l.delay
 			}
-			if l.Now() >= l.due[p] && !p.Over {
-				l.due[p] += time.Second
-				l.beats[p]++
+			if l.Now() >= l.nextFrameAt[p] && !p.Over {
+				l.nextFrameAt[p] += time.Second
+				l.heartbeats[p]++
 				p.Write(frame(4, 0))
 				l.Run()
 			}
@@ -32,29 +33,29 @@
 	}
 }
 
-// What is told of the list's age is never later than when it was written, however late frames come and however evenly; a
-// bulletin that is seconds behind is heard all the same, and asked anew whether it still is. Guards against taking what
-// arrives for what is so: a bulletin that is behind sounds like one that is not.
-func TestListIsAsOldAsItsFramesMayBe(t *testing.T) {
-	for _, by := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second, 5 * time.Second, 9 * time.Second} {
-		l := &late{newStand(t), by, map[*wiretest.Peer]time.Duration{}, map[*wiretest.Peer]time.Duration{}}
+// The time up to which the list is reported as complete is never later than when its frames were written, however late and regularly they
+// arrive. A bulletin that is delayed by seconds is still followed, and is reconnected to see whether the delay persists. The test guards
+// against taking frames for recent because they arrive: delayed frames look the same as others.
+func TestListAgeIsNeverUnderestimated(t *testing.T) {
+	for _, delay := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second, 5 * time.Second, 9 * time.Second} {
+		l := &delayedFixture{newFixture(t), delay, map[*wiretest.Peer]time.Duration{}, map[*wiretest.Peer]time.Duration{}}
 		var asOf time.Duration
-		heard := 0
-		l.feed.Current = func(at time.Duration) {
-			if asOf = at; at > l.Now()-by {
-				t.Errorf("%v late: as of %v, written by %v at the latest", by, at, l.Now()-by)
+		calls := 0
+		l.feed.OnListCurrent = func(at time.Duration) {
+			if asOf = at; at > l.Now()-delay {
+				t.Errorf("delay %v: list reported complete as of %v, but written by %v at the latest", delay, at, l.Now()-delay)
 			}
-			heard++
+			calls++
 		}
-		l.pass(40 * time.Second)
-		if heard < 5 {
-			t.Errorf("%v late: heard %d times in 40 s", by, heard)
+		l.passWithFrames(40 * time.Second)
+		if calls < 5 {
+			t.Errorf("delay %v: OnListCurrent was called %d times in 40 s, want at least 5", delay, calls)
 		}
-		if by < time.Second && (l.Now()-asOf > 2*time.Second || len(l.peers) > 1) {
-			t.Errorf("%v late: %v old at the end, after %d connections", by, l.Now()-asOf, len(l.peers))
+		if delay < time.Second && (l.Now()-asOf > 2*time.Second || len(l.peers) > 1) {
+			t.Errorf("delay %v: list is %v old after %d connections, want at most 2s after 1", delay, l.Now()-asOf, len(l.peers))
 		}
-		if by >= 3*time.Second && len(l.peers) > 25 {
-			t.Errorf("%v late: %d connections", by, len(l.peers))
+		if delay >= 3*time.Second && len(l.peers) > 25 {
+			t.Errorf("delay %v: %d connections, want at most 25", delay, len(l.peers))
 		}
 	}
 }
--- a/internal/wire/bulletin/log.go
+++ b/internal/wire/bulletin/log.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	lossEvery  = 5 * time.Second // pace at which a loss that goes on is logged
-	namesNoted = 16              // workers that a log line names of each state
+	lossLogInterval = 5 * time.Second // interval at which a continuing loss is logged
+	maxNamesLogged  = 16              // workers of each state that a log line names
 )
 
-// logLoss notes that a connection to the bulletin has failed: the first time, and then at a pace.
-func (f *Feed) logLoss(why error) {
+// logLoss logs that a connection to the bulletin has failed, at first and then once in lossLogInterval.
+func (f *Feed) logLoss(err error) {
 	now := f.loop.Now()
-	f.failed++
-	if f.lost == 0 {
-		f.lost, f.said, f.failed = now, now, 0
-		f.log.Warn("bulletin lost", zap.Uint64("last", f.last), zap.Error(why))
-	} else if now-f.said >= lossEvery {
-		f.said = now
-		f.log.Warn("bulletin still lost", zap.Duration("for", now-f.lost), zap.Int("tries", f.failed), zap.Uint64("last", f.last),
-			zap.Error(why))
+	f.failedDials++
+	if f.lostSince == 0 {
+		f.lostSince, f.lossLoggedAt, f.failedDials = now, now, 0
+		f.log.Warn("bulletin lost", zap.Uint64("last", f.lastEvent), zap.Error(err))
+	} else if now-f.lossLoggedAt >= lossLogInterval {
+		f.lossLoggedAt = now
+		f.log.Warn("bulletin still lost", zap.Duration("for", now-f.lostSince), zap.Int("tries", f.failedDials), zap.Uint64("last", f.lastEvent),
+			zap.Error(err))
 	}
 }
 
-// back notes that the bulletin has spoken.
-func (f *Feed) back() {
-	f.backoff = retryFirst
-	if f.lost == 0 {
+// noteReceived resets the backoff after a frame was received, and logs the end of a loss.
+func (f *Feed) noteReceived() {
+	f.backoff = firstBackoff
+	if f.lostSince == 0 {
 		return
 	}
-	f.log.Info("bulletin is back", zap.Duration("after", f.loop.Now()-f.lost), zap.Int("tries", f.failed), zap.Uint64("last", f.last))
-	f.lost = 0
+	f.log.Info("bulletin is back", zap.Duration("after", f.loop.Now()-f.lostSince), zap.Int("tries", f.failedDials),
+		zap.Uint64("last", f.lastEvent))
+	f.lostSince = 0
 }
 
-// logChange notes what an event says of the workers.
+// logChange logs how many workers of each state an event contains, and the first of their names.
 func (f *Feed) logChange(e Event) {
 	var named [decide.Gone + 1][]string
 	var count [decide.Gone + 1]int
 	for _, m := range e.Members {
-		if count[m.State]++; len(named[m.State]) < namesNoted {
+		if count[m.State]++; len(named[m.State]) < maxNamesLogged {
 			named[m.State] = append(named[m.State], m.Name)
 		}
 	}
-	fields := []zap.Field{zap.Uint64("event", e.No), zap.Bool("whole", e.Whole)}
+	fields := []zap.Field{zap.Uint64("event", e.No), zap.Bool("whole", e.Complete)}
 	for state, name := range []string{"ready", "draining", "gone"} {
 		if count[state] > 0 {
 			fields = append(fields, zap.Int(name, count[state]), zap.Strings(name+"_names", named[state]))
--- a/internal/wire/bulletin/slow.go
+++ b/internal/wire/bulletin/slow.go
@@ -7,43 +7,44 @@
 	"quillrail/internal/wire/sock"
 )
 
-// slowMost is how long a connection that has not spoken yet is kept beside the tries of further ones. What it has to tell
-// counts as told sooner, but may still come before any other word.
-const slowMost = 10 * time.Second
+// slowConnLifetime is how long a connection that has not received a frame yet stays open while further ones are tried. It exceeds
+// MaxPropagation: the events it waits for count as received by then, but may still be the first ones to arrive.
+const slowConnLifetime = 10 * time.Second
 
 var errSilent = errors.New("silent")
 
-// slowConn is a connection that has asked and has not been answered in time. The way to the bulletin may be slow: each
-// further connection would then be given up as well before it could speak.
+// slowConn is a connection whose request has not been answered within silenceTimeout. If the network to the bulletin is slow, every
+// further connection would also be closed before its first frame arrives, so one is kept open.
 type slowConn struct {
-	try   uint64
-	conn  sock.Conn
-	fresh freshness
+	dialNo    uint64
+	conn      sock.Conn
+	freshness freshness
 }
 
-// silent is called when a connection has brought no whole frame for too long. One that never did is kept for a while.
-func (f *Feed) silent(try uint64) {
-	if try != f.try {
+// handleSilence is called when a connection has received no complete frame for silenceTimeout. A connection that has never received one
+// becomes the slow connection, unless there is one already.
+func (f *Feed) handleSilence(dialNo uint64) {
+	if dialNo != f.dialNo {
 		return
 	}
-	if f.conn != nil && !f.fresh.spoke && f.slow == nil {
-		slow := &slowConn{try, f.conn, f.fresh}
+	if f.conn != nil && !f.freshness.gotFrame && f.slow == nil {
+		slow := &slowConn{dialNo, f.conn, f.freshness}
 		f.slow, f.conn = slow, nil
-		f.loop.After(slowMost, func() {
+		f.loop.After(slowConnLifetime, func() {
 			if f.slow == slow {
 				f.dropSlow()
 			}
 		})
 	}
-	f.again(errSilent)
+	f.retry(errSilent)
 }
 
-// adopt goes on with the slow connection, which has spoken before any other.
-func (f *Feed) adopt() {
+// adoptSlow makes the slow connection the current one, since it was the first to receive a frame.
+func (f *Feed) adoptSlow() {
 	slow := f.slow
 	f.slow = nil
-	f.drop()
-	f.try, f.conn, f.fresh = slow.try, slow.conn, slow.fresh
+	f.disconnect()
+	f.dialNo, f.conn, f.freshness = slow.dialNo, slow.conn, slow.freshness
 }
 
 // dropSlow closes the slow connection, if there is one.
--- a/internal/wire/form/form.go
+++ b/internal/wire/form/form.go
@@ -1,5 +1,5 @@
-// Package form checks the fields of a call, which both fronts spell the same way though they carry them in
-// different places. What does not pass here never reaches a worker.
+// Package form validates the fields of a call and converts them. Both fronts (HTTP and MQTT) use the same syntax for the fields but carry
+// them in different places of a message. A call that is invalid here never reaches a worker.
 package form
 
 import (
@@ -14,26 +14,26 @@
 )
 
 const (
-	maxNumber  = 1e6 // a quarter of an hour of work, a terabyte: more is a mistake
-	maxWait    = 10  // times the deadline of the class
-	maxKeySize = 128
-	maxLanes   = 1024
+	maxNumber        = 1e6 // milliseconds or megabytes: a cost of 17 minutes or a terabyte; more is taken for a mistake
+	maxWaitDeadlines = 10  // longest wait, as a multiple of the deadline of the call's class
+	maxKeySize       = 128 // characters
+	maxLanes         = 1024
 )
 
-// Raw holds the fields of a call as text. Those that may be absent are empty then.
+// Raw holds the fields of a call as text. Optional fields are empty if absent.
 type Raw struct {
 	Function, ID, Class, Tenant, Key string
 
 	WaitMs string
-	CostMs string // may be absent
-	Tags   string // may be absent: memory_mb:512;lanes:2;load_ms:640
-	Retry  string // may be absent
+	CostMs string // optional: expected work of the call
+	Tags   string // optional, for instance memory_mb:512;lanes:2;load_ms:640
+	Retry  string // optional: 1 if the client repeats the call, else 0
 }
 
-// ErrFunction is the error of a function that can't be one.
+// ErrFunction is the error for a function name that is not valid.
 var ErrFunction = errors.New("a function is 16 hex digits")
 
-// Call checks the fields and makes a call of them.
+// Call validates the fields and returns the call that they describe. Its errors are sent to the client.
 func (r Raw) Call(site *settings.Site) (call core.Call, err error) {
 	if !settings.Hex16(r.Function) {
 		return call, ErrFunction
@@ -55,7 +55,7 @@
 	if r.Key == "" && site.Keyed(call.Class) {
 		return call, errors.New("this class needs a key")
 	}
-	wait, err := number(r.WaitMs, maxWait*float64(site.Decide.Classes[call.Class].Deadline.Milliseconds()))
+	wait, err := parseNumber(r.WaitMs, maxWaitDeadlines*float64(site.Decide.Classes[call.Class].Deadline.Milliseconds()))
 	if err != nil || wait <= 0 {
 		return call, errors.New("the time to wait is not a number of milliseconds")
 	}
@@ -64,17 +64,17 @@
 	}
 	call.Wait, call.Repeat = milliseconds(wait), r.Retry == "1"
 	if r.CostMs != "" {
-		cost, err := number(r.CostMs, maxNumber)
+		cost, err := parseNumber(r.CostMs, maxNumber)
 		if err != nil {
 			return call, errors.New("the cost is not a number of milliseconds")
 		}
 		call.Work = milliseconds(cost)
 	}
-	return call, tags(r.Tags, &call)
+	return call, parseTags(r.Tags, &call)
 }
 
-// tags reads name:value pairs; unknown names are left alone.
-func tags(text string, call *core.Call) error {
+// parseTags parses name:value pairs into the call's fields. Pairs with unknown names are ignored.
+func parseTags(text string, call *core.Call) error {
 	for text != "" {
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
@@ -82,7 +82,7 @@
 		if name != "memory_mb" && name != "lanes" && name != "load_ms" {
 			continue
 		}
-		x, err := number(value, maxNumber)
+		x, err := parseNumber(value, maxNumber)
 		if err != nil {
 			return errors.New("a tag is not a number: " + name)
 		}
@@ -101,14 +101,16 @@
 	return nil
 }
 
-func number(text string, most float64) (float64, error) {
+// parseNumber parses a number from 0 to limit.
+func parseNumber(text string, limit float64) (float64, error) {
 	x, err := strconv.ParseFloat(text, 64)
-	if err == nil && (math.IsNaN(x) || x < 0 || x > most) {
+	if err == nil && (math.IsNaN(x) || x < 0 || x > limit) {
 		err = strconv.ErrRange
 	}
 	return x, err
 }
 
+// milliseconds converts a number of milliseconds to a duration.
 func milliseconds(x float64) time.Duration {
 	return time.Duration(math.Round(x * float64(time.Millisecond)))
 }
--- a/internal/wire/httpfront/answer.go
+++ b/internal/wire/httpfront/answer.go
@@ -101,7 +101,7 @@
 	case c.last && !c.spill: // more input would have the close take the answer back: then it is read for a while
 		c.rest(lingerLimit)
 		c.why = lastAnswer
-		c.sock.CloseUnlessMore(c.taken)
+		c.sock.CloseIfNoNewData(c.taken)
 	case c.last:
 		c.rest(lingerLimit)
 	case c.open == nil:
--- a/internal/wire/httpfront/close.go
+++ b/internal/wire/httpfront/close.go
@@ -22,7 +22,7 @@
 // and their request is answered and ends it.
 func (c *conn) part(why closeReason) {
 	c.parts, c.why = true, why
-	c.sock.CloseUnlessMore(c.taken)
+	c.sock.CloseIfNoNewData(c.taken)
 }
 
 // stay goes on with a connection that was to be closed and has had more, but no whole request.
--- a/internal/wire/sock/close_test.go
+++ b/internal/wire/sock/close_test.go
@@ -9,110 +9,111 @@
 	"go.uber.org/zap"
 )
 
-// gated is the server's end of a connection. The first of a test to get a byte stops the poller until release is closed.
-type gated struct {
-	c       Conn
-	stops   *sync.Once
-	begun   chan<- struct{}
-	release <-chan struct{}
+// pausingEcho is a Handler of accepted connections that sends received bytes back. The first of a test that receives data blocks the
+// poller until release is closed.
+type pausingEcho struct {
+	conn      Conn
+	pauseOnce *sync.Once
+	paused    chan<- struct{}
+	release   <-chan struct{}
 }
 
-// Data answers each byte.
-func (g *gated) Data(b []byte) error {
-	g.stops.Do(func() {
-		close(g.begun)
+// Data sends the bytes back.
+func (g *pausingEcho) Data(b []byte) error {
+	g.pauseOnce.Do(func() {
+		close(g.paused)
 		<-g.release
 	})
-	g.c.Write(b)
+	g.conn.Write(b)
 	return nil
 }
 
-func (g *gated) Closed(error) {}
+func (g *pausingEcho) Closed(error) {}
 
-// Bytes that are in the socket when the turn has decided to close an idle connection keep it open, and are answered. The
-// poller is held until the order to close and the bytes are both there.
-func TestCloseUnlessMoreSeesWhatIsInTheSocket(t *testing.T) {
-	release, begun, accepted := make(chan struct{}), make(chan struct{}), make(chan Conn, 2)
-	var stops sync.Once
+// CloseIfNoNewData leaves a connection open if unread bytes are in its socket or Data was called more often than given, and the bytes are
+// answered. The poller is blocked until both the close request and the bytes are there.
+func TestCloseIfNoNewDataSeesUnreadBytes(t *testing.T) {
+	release, paused, accepted := make(chan struct{}), make(chan struct{}), make(chan Conn, 2)
+	var pauseOnce sync.Once
 	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 64, Accepted: 64}, func(c Conn) Handler {
 		accepted <- c
-		return &gated{c, &stops, begun, release}
+		return &pausingEcho{c, &pauseOnce, paused, release}
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Stop()
 	var clients [2]net.Conn
-	var ends [2]Conn
+	var servers [2]Conn
 	for i := range clients {
 		if clients[i], err = net.Dial("tcp", n.Addr()); err != nil {
 			t.Fatal(err)
 		}
 		defer clients[i].Close()
-		ends[i] = <-accepted
+		servers[i] = <-accepted
 	}
 	clients[0].Write([]byte{1})
-	<-begun
-	ends[1].CloseUnlessMore(0)
+	<-paused
+	servers[1].CloseIfNoNewData(0)
 	clients[1].Write([]byte{2})
 	close(release)
 	got := make([]byte, 1)
 	if _, err := io.ReadFull(clients[1], got); err != nil || got[0] != 2 {
-		t.Fatalf("the byte was answered with %v, %v", got, err)
+		t.Fatalf("the byte sent before the close request was processed was answered with %v, %v", got, err)
 	}
 	io.ReadFull(clients[0], got)
-	ends[1].CloseUnlessMore(0) // the turn has not come to that byte yet
+	servers[1].CloseIfNoNewData(0) // as if the event loop had not processed that byte yet
 	clients[0].Write([]byte{1})
-	io.ReadFull(clients[0], got) // the poller has had the order to close before
+	io.ReadFull(clients[0], got) // by now the poller has processed the close request
 	clients[1].Write([]byte{3})
 	if _, err := io.ReadFull(clients[1], got); err != nil || got[0] != 3 {
-		t.Fatalf("after a close that came too late: %v, %v", got, err)
+		t.Fatalf("the byte sent after an outdated close request was answered with %v, %v", got, err)
 	}
-	ends[1].CloseUnlessMore(2)
+	servers[1].CloseIfNoNewData(2)
 	if _, err := clients[1].Read(got); err != io.EOF {
-		t.Errorf("with nothing more the connection ended with %v", err)
+		t.Errorf("without new data the connection ended with %v, want EOF", err)
 	}
 }
 
-// bystander counts the accepted connections that are open.
-type bystander struct {
-	mu   sync.Mutex
-	open int
-	most int
-	came chan struct{}
-	went chan struct{}
+// connCounter counts the accepted connections that are open, and their maximum.
+type connCounter struct {
+	mu      sync.Mutex
+	open    int
+	maxOpen int
+	opened  chan struct{}
+	closed  chan struct{}
 }
 
-func (b *bystander) Data([]byte) error { return nil }
+func (b *connCounter) Data([]byte) error { return nil }
 
-func (b *bystander) Closed(error) {
+func (b *connCounter) Closed(error) {
 	b.mu.Lock()
 	b.open--
 	b.mu.Unlock()
-	b.went <- struct{}{}
+	b.closed <- struct{}{}
 }
 
-func (b *bystander) accept(Conn) Handler {
+func (b *connCounter) accept(Conn) Handler {
 	b.mu.Lock()
 	b.open++
-	b.most = max(b.most, b.open)
+	b.maxOpen = max(b.maxOpen, b.open)
 	b.mu.Unlock()
-	b.came <- struct{}{}
+	b.opened <- struct{}{}
 	return b
 }
 
-// However many clients connect at once, no more are accepted than the limit: the descriptors beyond it are for connections
-// that the gateway itself needs. The rest come in as others end.
+// However many clients connect at once, no more connections are accepted than the limit, since the gateway needs the remaining descriptors
+// for its own connections. The others are accepted as open ones end.
 func TestAcceptedConnectionsAreLimited(t *testing.T) {
-	const clients, most = 40, 3
-	b := &bystander{came: make(chan struct{}, clients), went: make(chan struct{}, clients)}
-	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 128, Accepted: most}, b.accept, zap.NewNop())
+	const clients, maxOpen = 40, 3
+	counter := &connCounter{opened: make(chan struct{}, clients), closed: make(chan struct{}, clients)}
+	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 128, Accepted: maxOpen}, counter.accept, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Stop()
 	var all []net.Conn
-	for range clients { // the kernel takes them all
+	for range clients { // the kernel queues those not accepted yet
 		c, err := net.Dial("tcp", n.Addr())
 		if err != nil {
 			t.Fatal(err)
@@ -120,11 +121,11 @@
 		all = append(all, c)
 	}
 	for _, c := range all {
-		<-b.came
+		<-counter.opened
 		c.Close()
-		<-b.went
+		<-counter.closed
 	}
-	if b.most > most {
-		t.Errorf("%d connections were open at once, %d allowed", b.most, most)
+	if counter.maxOpen > maxOpen {
+		t.Errorf("%d connections were open at once, want at most %d", counter.maxOpen, maxOpen)
 	}
 }
--- a/internal/wire/sock/conn.go
+++ b/internal/wire/sock/conn.go
@@ -9,81 +9,83 @@
 	"github.com/lesismal/nbio"
 )
 
-// session holds a connection's handler. The goroutine that accepts or dials hands it to the poller's through the
-// kernel, which the race detector does not see; the lock lets it.
+// session is the state of a connection that nbio carries. It passes from the goroutine that accepts or dials to the poller goroutine
+// through the kernel, where the race detector sees no order between them; the lock makes the order visible.
 type session struct {
-	mu        sync.Mutex
-	h         Handler
-	unsent    atomic.Int64
-	asked     atomic.Bool  // somebody waits for unsent to become 0
-	delivered atomic.Int64 // calls of Data
-	accepted  bool         // not dialled
-	shut      bool         // this side has ended the connection; of the poller's goroutine
+	mu          sync.Mutex
+	handler     Handler
+	unsent      atomic.Int64
+	flushWanted atomic.Bool  // a Flusher is to be notified when unsent becomes 0
+	delivered   atomic.Int64 // calls of Data
+	accepted    bool         // not dialled
+	closedHere  bool         // this side has closed the connection; used on the poller goroutine only
 }
 
-// took counts down what the kernel has taken. It runs under nbio's lock on the connection, so the Flusher, which may have to
-// wait for the turn, is told on a goroutine of its own: the turn may wait for that lock.
-func (s *session) took(n int) {
-	if s.unsent.Add(int64(-n)) == 0 && s.asked.Swap(false) {
-		if f, ok := s.get().(Flusher); ok {
+// noteWritten subtracts what the kernel has accepted from the unsent bytes. It runs under nbio's lock on the connection, for which the
+// event loop may be waiting. Flushed may in turn wait for the event loop, so it is called on a goroutine of its own.
+func (s *session) noteWritten(n int) {
+	if s.unsent.Add(int64(-n)) == 0 && s.flushWanted.Swap(false) {
+		if f, ok := s.getHandler().(Flusher); ok {
 			go f.Flushed()
 		}
 	}
 }
 
-// conn is an nbio connection that counts what it holds for a slow peer.
+// conn is an nbio connection that counts the bytes that the kernel has not accepted yet.
 type conn struct {
 	*nbio.Conn
-	s *session
-	n *Net
+	session *session
+	net     *Net
 }
 
-// Close has the connection closed soon, on the poller's goroutine; what was written before still goes out.
+// Close requests that the poller goroutine close the connection. Bytes that the kernel has accepted are still sent.
 func (c *conn) Close() error {
-	c.n.reaper.close(closing{c: c.Conn, s: c.s})
+	c.net.queue.close(closeRequest{conn: c.Conn, session: c.session})
 	return nil
 }
 
-// CloseUnlessMore asks the poller's goroutine, which alone knows what it has delivered and what is still in the socket.
-func (c *conn) CloseUnlessMore(taken int) {
-	c.n.reaper.close(closing{c: c.Conn, s: c.s, unless: true, taken: int64(taken)})
+// CloseIfNoNewData leaves the decision to the poller goroutine, since only there it is certain what has been delivered and what is still
+// unread in the socket.
+func (c *conn) CloseIfNoNewData(delivered int) {
+	c.net.queue.close(closeRequest{conn: c.Conn, session: c.session, ifNoNewData: true, delivered: int64(delivered)})
 }
 
-// Write has nbio write. A write that fails closes the descriptor here and not on the poller's goroutine, so that it is noted
-// before anybody takes a connection into use that may have got the same number: see Net.settle.
+// Write writes through nbio. A write that fails closes the descriptor on the caller's goroutine instead of the poller goroutine. This is
+// counted before a new connection can come into use that has the same descriptor number: see Net.awaitStaleEvents.
 func (c *conn) Write(b []byte) (int, error) {
-	c.s.unsent.Add(int64(len(b)))
-	c.n.writing.Lock()
+	c.session.unsent.Add(int64(len(b)))
+	c.net.writing.Lock()
 	n, err := c.Conn.Write(b)
-	if err != nil && !errors.Is(err, net.ErrClosed) { // else the poller has closed it
-		c.n.closedInWrite++
+	if err != nil && !errors.Is(err, net.ErrClosed) { // after ErrClosed, the poller has already closed the descriptor
+		c.net.closedInWrite++
 	}
-	c.n.writing.Unlock()
+	c.net.writing.Unlock()
 	if err != nil {
-		c.s.unsent.Store(0) // the connection has ended, and with it what it held
+		c.session.unsent.Store(0) // the connection has ended and its unsent bytes are lost
 	}
 	return n, err
 }
 
+// Unsent returns the bytes that the kernel has not accepted. If there are any, the Flusher will be notified.
 func (c *conn) Unsent() int {
-	if c.s.unsent.Load() <= 0 {
+	if c.session.unsent.Load() <= 0 {
 		return 0
 	}
-	c.s.asked.Store(true)
-	if n := c.s.unsent.Load(); n > 0 || !c.s.asked.Swap(false) {
-		return max(1, int(n)) // the Flusher will be told
+	c.session.flushWanted.Store(true)
+	if n := c.session.unsent.Load(); n > 0 || !c.session.flushWanted.Swap(false) {
+		return max(1, int(n)) // at least 1 even if the last bytes have just been accepted, since then the Flusher is notified
 	}
 	return 0
 }
 
-func (s *session) set(h Handler, accepted bool) {
+func (s *session) setHandler(h Handler, accepted bool) {
 	s.mu.Lock()
-	s.h, s.accepted = h, accepted
+	s.handler, s.accepted = h, accepted
 	s.mu.Unlock()
 }
 
-func (s *session) get() Handler {
+func (s *session) getHandler() Handler {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.h
+	return s.handler
 }
--- a/internal/wire/sock/dial_test.go
+++ b/internal/wire/sock/dial_test.go
@@ -12,9 +12,9 @@
 	"go.uber.org/zap"
 )
 
-// A connect that this machine fails for a moment is tried again while there is time, and tells that it was this machine; what
-// the peer or the way to it says is told at once.
-func TestConnectOutlastsFaultsOfThisMachine(t *testing.T) {
+// A connect that fails because of this machine is retried until the timeout, and then reported as a local fault. An error caused by the
+// peer or the route to it is reported at once.
+func TestDialRetriesLocalFaults(t *testing.T) {
 	for _, c := range []struct {
 		errors []error
 		tries  int
@@ -34,23 +34,24 @@
 			return nil, nil
 		})
 		if tries != c.tries || !errors.Is(err, c.want) {
-			t.Errorf("%v: %d tries, %v", c.errors, tries, err)
+			t.Errorf("%v: %d tries, error %v; want %d tries, error %v", c.errors, tries, err, c.tries, c.want)
 		}
 	}
-	_, err := dial("", 4*dialSpare, func(string, time.Duration) (*nbio.Conn, error) { return nil, syscall.EMFILE })
+	_, err := dial("", 4*dialMargin, func(string, time.Duration) (*nbio.Conn, error) { return nil, syscall.EMFILE })
 	if !LocalFault(err) {
-		t.Errorf("after its time: %v", err)
+		t.Errorf("after the timeout: error %v, want a local fault", err)
 	}
 }
 
-// announcer is a Handler that says when bytes have come.
-type announcer chan struct{}
+// dataSignal is a Handler that signals each Data call.
+type dataSignal chan struct{}
 
-func (a announcer) Data([]byte) error { a <- struct{}{}; return nil }
-func (announcer) Closed(error)        {}
+func (a dataSignal) Data([]byte) error { a <- struct{}{}; return nil }
+func (dataSignal) Closed(error)        {}
 
-// A connection that comes up as the engine has begun to stop is not taken: the engine would wait for it, or not, by chance.
-func TestDialAfterStop(t *testing.T) {
+// A connection that is established after the engine has begun to stop is rejected. Otherwise it would depend on timing whether the engine
+// waits for its end.
+func TestDialAfterStopFails(t *testing.T) {
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -65,8 +66,8 @@
 		n.Dial(peer.Addr().String(), time.Minute, h, func(_ Conn, err error) { done <- err })
 		return <-done
 	}
-	came := make(announcer)
-	if err := dial(came); err != nil {
+	received := make(dataSignal)
+	if err := dial(received); err != nil {
 		t.Fatal(err)
 	}
 	first, err := peer.Accept()
@@ -75,9 +76,9 @@
 	}
 	defer first.Close()
 	first.Write([]byte{1})
-	<-came // the poller runs: before that nbio would forget that it was stopped
+	<-received // now the poller runs; if stopped earlier, nbio would lose the stop
 	n.Stop()
-	if err := dial(came); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("dialled after the end: %v", err)
+	if err := dial(received); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("dial after Stop: error %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/wire/sock/listener.go
+++ b/internal/wire/sock/listener.go
@@ -16,100 +16,102 @@
 	"quillrail/internal/transient"
 )
 
-// takeAgain is the pause after a descriptor that the system did not give.
-const takeAgain = 5 * time.Millisecond
+// descriptorRetryPause is the pause before retrying after the system had no free descriptor.
+const descriptorRetryPause = 5 * time.Millisecond
 
-// listener can be closed while its engine goes on: nbio would try to accept again at once, for good. It accepts nothing more
-// while most accepted connections are open, so that clients cannot use up the descriptors that dialled connections need.
+// listener adds two things to a net.Listener. Its socket can be closed while the engine keeps running; nbio alone would then retry the
+// accept endlessly without a pause. And it accepts no more than maxOpen connections at a time, so that clients cannot use up the
+// descriptors that dialled connections need.
 type listener struct {
 	net.Listener
-	settle func() // called with each connection that has its descriptor, before the poller has it
-	once   sync.Once
-	over   chan struct{} // the engine ends
+	awaitStaleEvents func() // called once a new connection has its descriptor, before the poller knows of it
+	once             sync.Once
+	engineStopped    chan struct{} // closed when the engine stops
 
-	mu    sync.Mutex
-	freed sync.Cond
-	most  int
-	open  int // accepted connections
-	ended bool
+	mu      sync.Mutex
+	room    sync.Cond // fewer than maxOpen connections are open, or ended is set
+	maxOpen int
+	open    int // accepted connections
+	ended   bool
 }
 
-func newListener(ln net.Listener, most int, settle func()) *listener {
-	l := &listener{Listener: ln, settle: settle, over: make(chan struct{}), most: most}
-	l.freed.L = &l.mu
+func newListener(ln net.Listener, maxOpen int, awaitStaleEvents func()) *listener {
+	l := &listener{Listener: ln, awaitStaleEvents: awaitStaleEvents, engineStopped: make(chan struct{}), maxOpen: maxOpen}
+	l.room.L = &l.mu
 	return l
 }
 
-// Accept waits for room and then for a connection. It is nbio's already: what nbio makes of another has a descriptor of its own.
+// Accept waits until fewer than maxOpen connections are open, then for a connection, which it returns as an nbio connection. nbio would
+// convert any other kind itself, to a descriptor for which awaitStaleEvents was not called.
 func (l *listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
-	for l.open >= l.most && !l.ended {
-		l.freed.Wait()
+	for l.open >= l.maxOpen && !l.ended {
+		l.room.Wait()
 	}
 	l.mu.Unlock()
 	c, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
-		<-l.over
-		runtime.Goexit() // an engine stopped before its acceptor began would have that try for good
+		<-l.engineStopped
+		runtime.Goexit() // if the engine was stopped before its acceptor began, nbio would retry the accept endlessly
 	}
 	if err != nil {
 		return nil, err
 	}
-	return l.take(c)
+	return l.toNBIO(c)
 }
 
-// take makes a connection nbio's, which needs another descriptor for it. While the system has none left it is tried again: the
-// client may have written a call already, and a close would lose it.
-func (l *listener) take(c net.Conn) (net.Conn, error) {
+// toNBIO converts a connection to an nbio connection, which needs another descriptor. While the system has no free descriptor it retries:
+// the client may have written a call already, which would be lost if the connection were closed.
+func (l *listener) toNBIO(c net.Conn) (net.Conn, error) {
 	for {
-		taken, err := nbio.NBConn(c)
+		converted, err := nbio.NBConn(c)
 		if err == nil {
-			l.settle()
-			return taken, nil
+			l.awaitStaleEvents()
+			return converted, nil
 		}
 		select {
-		case <-time.After(takeAgain):
-		case <-l.over:
+		case <-time.After(descriptorRetryPause):
+		case <-l.engineStopped:
 			c.Close()
 			return nil, err
 		}
 	}
 }
 
-// opened counts a connection; the engine calls it before the next Accept.
+// opened counts an accepted connection. The engine calls it before the next Accept.
 func (l *listener) opened() {
 	l.mu.Lock()
 	l.open++
 	l.mu.Unlock()
 }
 
-// closed makes room for another.
+// closed counts the end of an accepted connection, which makes room for another.
 func (l *listener) closed() {
 	l.mu.Lock()
 	l.open--
 	l.mu.Unlock()
-	l.freed.Signal()
+	l.room.Signal()
 }
 
-// Close is the engine's end.
+// Close closes the socket and ends a waiting Accept. The engine calls it when it stops.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		l.mu.Lock()
 		l.ended = true
 		l.mu.Unlock()
-		l.freed.Broadcast()
-		close(l.over)
+		l.room.Broadcast()
+		close(l.engineStopped)
 	})
 	return l.Listener.Close()
 }
 
-// bindFor is how long a listening socket is tried to be had while the machine lacks something for it.
-const bindFor = 5 * time.Second
+// bindTimeout is how long a socket that the poller or the listener needs is retried while the system lacks the resources for it.
+const bindTimeout = 5 * time.Second
 
-// Bind opens a listening socket. shared lets another process of the gateway bind the same address. It waits while the system has
-// no descriptor or buffer for it: a process that ended for that would not come back by itself.
+// Bind opens a listening socket. If shared is set, another process of the gateway can bind the same address. While the system has no free
+// descriptor or buffer, Bind retries for bindTimeout: a process that exited for this reason would not be restarted.
 func Bind(addr string, shared bool) (ln net.Listener, err error) {
-	err = transient.Retry(bindFor, func() (err error) {
+	err = transient.Retry(bindTimeout, func() (err error) {
 		ln, err = bind(addr, shared)
 		return err
 	})
--- a/internal/wire/sock/log.go
+++ b/internal/wire/sock/log.go
@@ -7,25 +7,26 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Of nbio's lines so many of a kind are logged in a second, and then each so-many-th: where the system has no descriptor left
-// it has one every 5 ms.
+// Of nbio's lines with the same text, the first sampleFirst of each second are logged, and then every sampleThereafter-th. While the
+// system has no free descriptor, nbio writes a line every 5 ms.
 const (
-	linesFirst = 3
-	linesThen  = 100
+	sampleFirst      = 3
+	sampleThereafter = 100
 )
 
-// quiet sends nbio's own lines to our log; what it calls errors are mostly peers that went away.
-type quiet struct{ *zap.SugaredLogger }
+// nbioLogger writes nbio's log lines to the gateway's log. Errors are logged as warnings and information at debug level, since most of
+// what nbio reports as an error is a peer that closed its connection.
+type nbioLogger struct{ *zap.SugaredLogger }
 
-// sampled is a logger that leaves out what repeats itself.
+// sampled returns a logger that omits repeated lines.
 func sampled(log *zap.Logger) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(c, time.Second, linesFirst, linesThen)
+		return zapcore.NewSamplerWithOptions(c, time.Second, sampleFirst, sampleThereafter)
 	}))
 }
 
-func (q quiet) SetLevel(int)                  {}
-func (q quiet) Debug(format string, v ...any) { q.Debugf(format, v...) }
-func (q quiet) Info(format string, v ...any)  { q.Debugf(format, v...) }
-func (q quiet) Warn(format string, v ...any)  { q.Warnf(format, v...) }
-func (q quiet) Error(format string, v ...any) { q.Warnf(format, v...) }
+func (q nbioLogger) SetLevel(int)                  {}
+func (q nbioLogger) Debug(format string, v ...any) { q.Debugf(format, v...) }
+func (q nbioLogger) Info(format string, v ...any)  { q.Debugf(format, v...) }
+func (q nbioLogger) Warn(format string, v ...any)  { q.Warnf(format, v...) }
+func (q nbioLogger) Error(format string, v ...any) { q.Warnf(format, v...) }
--- a/internal/wire/sock/read.go
+++ b/internal/wire/sock/read.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	readBuffer = 32 << 10
+	readBufferSize = 32 << 10 // bytes
 
-	// readsPerEvent is how many reads are made of a connection before nbio looks at whether the peer has hung up. What is unread
-	// then is lost, so these buffers have to hold more than the kernel does for one connection (6 MB by default).
+	// readsPerEvent is how many reads are made of a connection before nbio checks whether the peer has hung up. Bytes unread by then are
+	// lost, so these reads must take more than the kernel buffers for one connection (6 MB by default).
 	readsPerEvent = 256
 )
 
-// read takes what a connection has. nbio calls it on the poller's goroutine, and closes the connection behind it if the peer has hung
-// up. A read that gives less than the buffer holds is not the last one: it may end at the mark of an urgent byte, or be cut short
-// by the system, with an answer behind it. A client that has hung up is owed nothing, so that its connection is spared the further read.
+// read reads what a connection has received. nbio calls it on the poller goroutine, and afterwards closes the connection if the peer has
+// hung up. A short read is not necessarily the last one: it may end at the mark of an urgent byte or be interrupted by the system, with
+// an answer behind it. A client that has hung up needs no answer, so accepted connections are spared the further read.
 func (n *Net) read(c *nbio.Conn) {
 	s, ok := c.Session().(*session)
 	if !ok {
 		return
 	}
-	h := s.get()
+	h := s.getHandler()
 	for range readsPerEvent {
 		length, err := c.Read(n.buffer)
 		switch {
@@ -41,16 +41,16 @@
 		case err != nil && !transient.Is(err):
 			c.CloseWithError(err)
 			return
-		default: // nothing more now, or for good: nbio sees the end by itself
+		default: // nothing more to read now, or the end of the stream, which nbio notices by itself
 			return
 		}
 	}
 }
 
-// deliver hands what was read to the connection's handler. What comes once this side has ended the connection is read and dropped: an
-// answer could reach nobody, and unread bytes would have the kernel take back what was written before.
+// deliver passes what was read to the connection's handler. Bytes received after this side has closed the connection are read but
+// dropped: no answer to them could be sent, and if they stayed unread, the kernel would reset the connection and discard what was written.
 func (s *session) deliver(h Handler, b []byte) error {
-	if s.shut {
+	if s.closedHere {
 		return nil
 	}
 	s.delivered.Add(1)
--- a/internal/wire/sock/read_test.go
+++ b/internal/wire/sock/read_test.go
@@ -9,34 +9,34 @@
 	"golang.org/x/sys/unix"
 )
 
-// counter counts what comes. Its first piece is held until release is closed, which stops the poller.
-type counter struct {
+// byteCounter counts received bytes. Its first Data call blocks the poller until release is closed.
+type byteCounter struct {
 	release <-chan struct{}
-	begun   chan<- struct{}
+	paused  chan<- struct{}
 	held    bool
 	bytes   int
 	closed  chan int
 }
 
-func (c *counter) Data(b []byte) error {
+func (c *byteCounter) Data(b []byte) error {
 	if !c.held {
 		c.held = true
-		close(c.begun)
+		close(c.paused)
 		<-c.release
 	}
 	c.bytes += len(b)
 	return nil
 }
 
-func (c *counter) Closed(error) { c.closed <- c.bytes }
+func (c *byteCounter) Closed(error) { c.closed <- c.bytes }
 
-// A peer that writes more than the poller reads at one event and hangs up at once has its last bytes read all the same: they
-// may be answers. The poller is held until all of it, the end included, is in the socket.
-func TestBytesBeforeAHangUpAreRead(t *testing.T) {
+// If a peer writes more than one read takes and hangs up at once, all its bytes are still read, since they may be answers. The poller is
+// blocked until all bytes and the end of the stream are in the socket.
+func TestBytesBeforeHangUpAreRead(t *testing.T) {
 	const size = 512 << 10
 	release, begun, closed := make(chan struct{}), make(chan struct{}), make(chan int, 1)
 	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 64, Accepted: 64}, func(Conn) Handler {
-		return &counter{release: release, begun: begun, closed: closed}
+		return &byteCounter{release: release, paused: begun, closed: closed}
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -60,9 +60,9 @@
 	}
 }
 
-// A read may give less than there is: here at the mark of an urgent byte, and where a system call is cut short. What stands behind
-// it when the peer has hung up already is read all the same: it may be an answer.
-func TestShortReadBeforeAHangUp(t *testing.T) {
+// A read may return less than is available: here it ends at the mark of an urgent byte; an interrupted system call has the same effect.
+// If the peer has hung up already, the bytes behind the mark are still read, since they may be an answer.
+func TestBytesAfterShortReadAreReadBeforeHangUp(t *testing.T) {
 	release, begun, closed := make(chan struct{}), make(chan struct{}), make(chan int, 1)
 	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 64, Accepted: 64}, func(Conn) Handler { return nil }, zap.NewNop())
 	if err != nil {
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	n.Dial(ln.Addr().String(), time.Second, &counter{release: release, begun: begun, closed: closed}, func(_ Conn, err error) {
+	n.Dial(ln.Addr().String(), time.Second, &byteCounter{release: release, paused: begun, closed: closed}, func(_ Conn, err error) {
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/wire/sock/sock.go
+++ b/internal/wire/sock/sock.go
@@ -1,5 +1,5 @@
-// Package sock is the project's hold on nbio: connections that hand what they read to a Handler. Every
-// callback runs on an I/O goroutine and must only parse and post.
+// Package sock wraps the nbio library: it opens and accepts connections that pass what they read to a Handler. Every callback runs on an
+// I/O goroutine and must only parse and post to the event loop.
 package sock
 
 import (
@@ -14,26 +14,26 @@
 	"go.uber.org/zap"
 )
 
-// Conn is what the rest of the program needs of a connection. Write never blocks: what the peer does not
-// take yet is kept, within a bound; past it the connection is closed.
+// Conn is a connection as the rest of the program uses it. Write never blocks: bytes that the kernel does not accept yet are buffered, and
+// the connection is closed if they exceed maxWriteBuffer.
 type Conn interface {
 	Write([]byte) (int, error)
 	Close() error
-	// CloseUnlessMore closes the connection unless more has come, to the Handler or as far as the socket, than the given
-	// number of calls of Data. What has come stays owed: the Handler is or will be told of it.
-	CloseUnlessMore(taken int)
-	// Unsent is how much of what was written the kernel has not taken yet. A close would lose it. Where it is not
-	// 0, a Handler that is a Flusher is told once when it has become so.
+	// CloseIfNoNewData closes the connection, unless Data has been called more often than the given number of times or unread bytes
+	// are in the socket. Such bytes are not lost: they have been or will be passed to the Handler.
+	CloseIfNoNewData(delivered int)
+	// Unsent returns how many of the written bytes the kernel has not accepted yet. A close would lose them. If there are any, a
+	// Handler that is a Flusher is notified once when there are none left.
 	Unsent() int
 }
 
-// Handler takes what a connection reads. An error from Data closes the connection. Closed is called once.
+// Handler receives what a connection reads. An error from Data closes the connection. Closed is called once.
 type Handler interface {
 	Data(b []byte) error
 	Closed(err error)
 }
 
-// Flusher is a Handler that wants to know when a slow peer has made room for all that was written.
+// Flusher is a Handler that is notified when the kernel has accepted all that was written to a slow peer; see Conn.Unsent.
 type Flusher interface{ Flushed() }
 
 // Dialer opens connections whose bytes go to h; see Net.Dial.
@@ -42,42 +42,42 @@
 }
 
 const (
-	writeBuffer = 1 << 20 // most that is kept for a peer that does not read
-	leastFiles  = 1024    // places of nbio's array of descriptors, which it otherwise takes 16 MB for
+	maxWriteBuffer = 1 << 20 // bytes buffered for a peer that does not read
+	minOpenFiles   = 1024    // least size of nbio's array of descriptors, which by default takes 16 MB
 )
 
 // Limits bound what an engine may hold.
 type Limits struct {
-	Descriptors int // of the process
-	Accepted    int // connections that are accepted and open; further ones wait to be accepted
+	Descriptors int // descriptors of the whole process
+	Accepted    int // accepted connections open at a time; further ones wait to be accepted
 }
 
-// nbio has its logger and the size of an engine's array of descriptors in package variables. The first is read by running
-// engines, so it is set once; the second is read as an engine starts, and guarded while one does.
+// nbio has its logger and the size of an engine's array of descriptors in package variables. Running engines read the logger, so it is
+// set only once. An engine reads the size as it starts, so startMu is held meanwhile.
 var (
 	setLogger sync.Once
-	starting  sync.Mutex
+	startMu   sync.Mutex
 )
 
 // Net runs the sockets of one listener and of any number of dialled connections.
 type Net struct {
 	engine *nbio.Engine
-	ln     *listener // nil where it only dials
-	reaper reaper
-	buffer []byte // of the poller's goroutine
+	ln     *listener // nil if it only dials
+	queue  pollerQueue
+	buffer []byte // for reads; used on the poller goroutine only
 
-	writing       sync.Mutex // held while a write may close a descriptor
-	closedInWrite uint64     // descriptors closed by writes that failed
-	settled       atomic.Uint64
+	writing              sync.Mutex    // held while a write may close a descriptor
+	closedInWrite        uint64        // descriptors closed by writes that failed
+	closedInWriteHandled atomic.Uint64 // value of closedInWrite up to which stale events have been waited for
 
-	adding  sync.RWMutex // held while a dialled connection is added, and as the engine begins to stop
+	stopMu  sync.RWMutex // read-locked while a dialled connection is added, locked while stopped is set
 	stopped bool
 }
 
-// add gives a dialled connection to the engine. One that is stopping takes none: it counts those that it has to wait for.
+// add gives a dialled connection to the engine. While the engine stops it waits for a fixed number of connections, so then none is added.
 func (n *Net) add(c *nbio.Conn) error {
-	n.adding.RLock()
-	defer n.adding.RUnlock()
+	n.stopMu.RLock()
+	defer n.stopMu.RUnlock()
 	if n.stopped {
 		c.Close()
 		return net.ErrClosed
@@ -86,21 +86,21 @@
 	return err
 }
 
-// settle makes a new connection safe from the events of an old one that had its descriptor's number and was closed by a
-// write that failed: the poller may have such an event in hand, which would end the new one. It waits until it has none.
-// It is called once the descriptor is there and before the poller knows of it.
-func (n *Net) settle() {
+// awaitStaleEvents protects a new connection from events of an old one with the same descriptor number that a failed write has closed.
+// The poller may have fetched such an event and would close the new connection; this waits until the poller has none left. It is called
+// when the new descriptor exists and before the poller knows of it.
+func (n *Net) awaitStaleEvents() {
 	n.writing.Lock()
 	closed := n.closedInWrite
 	n.writing.Unlock()
-	if closed != n.settled.Load() {
-		n.reaper.passed()
-		n.settled.Store(closed)
+	if closed != n.closedInWriteHandled.Load() {
+		n.queue.awaitCurrentEvents()
+		n.closedInWriteHandled.Store(closed)
 	}
 }
 
-// Listen starts an engine. With an address, accepted connections go to accept, which must not close them yet;
-// with none the engine only dials.
+// Listen starts an engine. With an address, every accepted connection is passed to accept, which must not close it yet; with an empty
+// address the engine only dials.
 func Listen(addr string, limits Limits, accept func(Conn) Handler, log *zap.Logger) (*Net, error) {
 	if addr == "" {
 		return Serve(nil, limits, accept, log)
@@ -112,16 +112,17 @@
 	return Serve(ln, limits, accept, log)
 }
 
-// Serve is Listen on a socket that is open already. It is closed with the engine, or if this fails.
+// Serve is Listen on a socket that is already open. The socket is closed when the engine stops or if Serve fails. If ln is nil, the engine
+// only dials.
 func Serve(ln net.Listener, limits Limits, accept func(Conn) Handler, log *zap.Logger) (*Net, error) {
-	starting.Lock()
-	defer starting.Unlock()
-	setLogger.Do(func() { logging.SetLogger(quiet{sampled(log.Named("nbio")).Sugar()}) })
-	nbio.MaxOpenFiles = max(leastFiles, 2*limits.Descriptors)
-	conf := nbio.Config{Name: "quillrail", Network: "tcp", NPoller: 1, MaxWriteBufferSize: writeBuffer}
-	n := &Net{buffer: make([]byte, readBuffer)}
-	n.reaper.writing = &n.writing
-	bell, err := n.reaper.open()
+	startMu.Lock()
+	defer startMu.Unlock()
+	setLogger.Do(func() { logging.SetLogger(nbioLogger{sampled(log.Named("nbio")).Sugar()}) })
+	nbio.MaxOpenFiles = max(minOpenFiles, 2*limits.Descriptors)
+	conf := nbio.Config{Name: "quillrail", Network: "tcp", NPoller: 1, MaxWriteBufferSize: maxWriteBuffer}
+	n := &Net{buffer: make([]byte, readBufferSize)}
+	n.queue.writing = &n.writing
+	wakeConn, err := n.queue.open()
 	if err != nil {
 		if ln != nil {
 			ln.Close()
@@ -129,7 +130,7 @@
 		return nil, err
 	}
 	if ln != nil {
-		n.ln = newListener(ln, limits.Accepted, n.settle)
+		n.ln = newListener(ln, limits.Accepted, n.awaitStaleEvents)
 		conf.Addrs = []string{ln.Addr().String()}
 		conf.Listen = func(string, string) (net.Listener, error) { return n.ln, nil }
 	}
@@ -140,31 +141,31 @@
 		}
 		s := new(session)
 		n.ln.opened()
-		s.set(accept(&conn{c, s, n}), true)
+		s.setHandler(accept(&conn{c, s, n}), true)
 		c.SetSession(s)
 	})
 	n.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
 		if s, ok := c.Session().(*session); ok {
-			s.took(n)
+			s.noteWritten(n)
 		}
 	})
 	n.engine.OnRead(n.read)
 	n.engine.OnClose(func(c *nbio.Conn, err error) {
 		if s, ok := c.Session().(*session); ok {
-			s.get().Closed(err)
+			s.getHandler().Closed(err)
 			if s.accepted {
 				n.ln.closed()
 			}
 		}
 	})
-	// Without a pause nbio would spin when accepting fails for want of descriptors.
+	// Without a pause nbio would retry in a busy loop while accepting fails for lack of descriptors.
 	n.engine.OnAcceptError(func(err error) {
 		if !errors.Is(err, net.ErrClosed) {
 			time.Sleep(5 * time.Millisecond)
 		}
 	})
 	if err = n.engine.Start(); err == nil {
-		_, err = n.engine.AddConn(bell)
+		_, err = n.engine.AddConn(wakeConn)
 	}
 	if err != nil && ln != nil {
 		ln.Close()
@@ -172,14 +173,14 @@
 	return n, err
 }
 
-// Listener is the socket that it listens on, to be handed on.
+// Listener returns the listening socket, to be passed to another process.
 func (n *Net) Listener() net.Listener { return n.ln.Listener }
 
-// StopAccepting closes the listening socket; connections go on. What waits to be accepted is the concern of the
-// process that has a copy of the socket; without one it is reset.
+// StopAccepting closes the listening socket and leaves open connections alone. Connections that wait to be accepted go to the process that
+// has a copy of the socket; if there is none, they are reset.
 func (n *Net) StopAccepting() { n.ln.Listener.Close() }
 
-// Addr is where the engine listens.
+// Addr returns the address on which the engine listens, or "" if it only dials.
 func (n *Net) Addr() string {
 	if len(n.engine.Addrs) == 0 {
 		return ""
@@ -187,10 +188,10 @@
 	return n.engine.Addrs[0]
 }
 
-// Stop closes the listener and every connection. What is dialled then ends with net.ErrClosed.
+// Stop closes the listener and every connection. Later dials fail with net.ErrClosed.
 func (n *Net) Stop() {
-	n.adding.Lock()
+	n.stopMu.Lock()
 	n.stopped = true
-	n.adding.Unlock()
+	n.stopMu.Unlock()
 	n.engine.Stop()
 }
--- a/internal/wire/sock/sock_test.go
+++ b/internal/wire/sock/sock_test.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap"
 )
 
-// An engine that is stopped before its acceptor has begun: nbio forgets that it was stopped, and would ask a closed
-// listener again and again, with Stop waiting for the end of it. The acceptor has to end by itself.
-func TestStopBeforeTheAcceptorBegins(t *testing.T) {
+// If an engine is stopped before its acceptor has begun, nbio loses the stop and would call Accept of a closed listener endlessly, while
+// Stop waits for the acceptor to end. The acceptor has to end by itself.
+func TestAcceptEndsAfterCloseBeforeFirstAccept(t *testing.T) {
 	ln, err := Bind("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
@@ -25,34 +25,35 @@
 		returned = true
 	}()
 	if <-ended; returned {
-		t.Error("the acceptor goes on with a closed listener")
+		t.Error("Accept returned to the acceptor although the listener is closed")
 	}
 }
 
-// answerer answers and closes on a goroutine other than the poller's, as the turn does.
-type answerer struct {
-	c    Conn
-	turn chan func()
+// echoAndClose answers and closes on a goroutine other than the poller's, as the event loop does.
+type echoAndClose struct {
+	conn  Conn
+	tasks chan func()
 }
 
-func (a *answerer) Data(b []byte) error {
-	b = append([]byte(nil), b...) // the poller reads the next into it
-	a.turn <- func() { a.c.Write(b); a.c.Close() }
+func (a *echoAndClose) Data(b []byte) error {
+	b = append([]byte(nil), b...) // the poller reuses its buffer
+	a.tasks <- func() { a.conn.Write(b); a.conn.Close() }
 	return nil
 }
 
-func (a *answerer) Closed(error) {}
+func (a *echoAndClose) Closed(error) {}
 
-// Clients hang up as the server does, and others connect meanwhile: a descriptor that is closed has its number given to
-// a new connection while the poller may still have an event of the old one in hand. No client may miss its answer.
-func TestClosedDescriptorsAreNotMistaken(t *testing.T) {
-	turn := make(chan func(), 64)
+// Clients and server close connections at the same time while other clients connect: the number of a closed descriptor is reused for a new
+// connection while the poller may still have an event of the old one to process. Every client must receive its answer.
+func TestReusedDescriptorDoesNotLoseAnswers(t *testing.T) {
+	tasks := make(chan func(), 64)
 	go func() {
-		for f := range turn {
-			f()
+		for task := range tasks {
+			task()
 		}
 	}()
-	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 256, Accepted: 256}, func(c Conn) Handler { return &answerer{c, turn} }, zap.NewNop())
+	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 256, Accepted: 256},
+		func(c Conn) Handler { return &echoAndClose{c, tasks} }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wire/sock/write_test.go
+++ b/internal/wire/sock/write_test.go
@@ -9,43 +9,43 @@
 	"go.uber.org/zap"
 )
 
-// stopper is the server's end of a connection. Each byte of the one that stops the poller holds it until go is told; any other
-// byte is answered.
-type stopper struct {
-	c     Conn
-	stops bool
-	began chan struct{}
-	goOn  chan struct{}
+// pausableEcho is a Handler of accepted connections. If pauses is set, each Data call blocks the poller until something is sent to resume;
+// else the bytes are sent back.
+type pausableEcho struct {
+	conn   Conn
+	pauses bool
+	paused chan struct{}
+	resume chan struct{}
 }
 
-func (s *stopper) Data(b []byte) error {
-	if s.stops {
-		s.began <- struct{}{}
-		<-s.goOn
+func (s *pausableEcho) Data(b []byte) error {
+	if s.pauses {
+		s.paused <- struct{}{}
+		<-s.resume
 		return nil
 	}
-	s.c.Write(b)
+	s.conn.Write(b)
 	return nil
 }
 
-func (s *stopper) Closed(error) {}
+func (s *pausableEcho) Closed(error) {}
 
-// awaited reports whether somebody waits for the poller to have no old events in hand.
-func (r *reaper) awaited() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return len(r.waiting) > 0
+// hasWaiters reports whether a goroutine waits for the poller to process its current events.
+func (q *pollerQueue) hasWaiters() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.waiting) > 0
 }
 
-// A client or worker resets its connection while the poller has other events in hand, and two answers or calls are written to
-// it meanwhile: the second write fails, and the library closes the descriptor on the writer's goroutine. A connection that is
-// made then gets the same number. The poller, still with the event of the reset in hand, must not take it for the new
-// connection's: that one would be closed without an answer.
-func TestFailedWriteEndsNoOtherConnection(t *testing.T) {
+// A client or worker resets its connection while the poller processes other events, and two messages are written to the connection
+// meanwhile. The second write fails, and nbio closes the descriptor on the writer's goroutine. The next new connection gets the same
+// number. The poller, which has yet to process the event of the reset, must not apply it to the new connection, which would be closed
+// without an answer.
+func TestFailedWriteDoesNotCloseReusedDescriptor(t *testing.T) {
 	const resets = 8
-	began, goOn, accepted := make(chan struct{}), make(chan struct{}), make(chan *stopper, resets+1)
+	paused, resume, accepted := make(chan struct{}), make(chan struct{}), make(chan *pausableEcho, resets+1)
 	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 256, Accepted: 256}, func(c Conn) Handler {
-		s := &stopper{c: c, began: began, goOn: goOn}
+		s := &pausableEcho{conn: c, paused: paused, resume: resume}
 		accepted <- s
 		return s
 	}, zap.NewNop())
@@ -62,22 +62,22 @@
 		return c.(*net.TCPConn)
 	}
 	holder := dial()
-	(<-accepted).stops = true
+	(<-accepted).pauses = true
 	var old []Conn
 	var peers []*net.TCPConn
 	for range resets {
 		peers = append(peers, dial())
-		old = append(old, (<-accepted).c)
+		old = append(old, (<-accepted).conn)
 	}
 	holder.Write([]byte{0})
-	<-began
-	holder.Write([]byte{0}) // of the next events this comes first, and the resets come behind it
+	<-paused
+	holder.Write([]byte{0}) // the first of the next events, before the resets
 	for _, p := range peers {
 		p.SetLinger(0)
 		p.Close()
 	}
-	goOn <- struct{}{}
-	<-began
+	resume <- struct{}{}
+	<-paused
 	for _, c := range old {
 		c.Write([]byte{1})
 		c.Write([]byte{1})
@@ -86,13 +86,13 @@
 	for range resets {
 		clients = append(clients, dial())
 	}
-	for !n.reaper.awaited() && len(accepted) < resets { // the new connections are the poller's, or kept from it
+	for !n.queue.hasWaiters() && len(accepted) < resets { // until the new connections are accepted or held back
 		runtime.Gosched()
 	}
 	holder.Write([]byte{0})
-	goOn <- struct{}{}
-	<-began // the poller is through with the resets
-	goOn <- struct{}{}
+	resume <- struct{}{}
+	<-paused // the poller has processed the resets
+	resume <- struct{}{}
 	for i, c := range clients {
 		c.Write([]byte{byte(i)})
 		got := make([]byte, 1)
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// CloseUnlessMore ends the connection once it is this step's turn, unless more has been delivered than was taken.
-func (c *Conn) CloseUnlessMore(taken int) {
+// CloseIfNoNewData ends the connection once it is this step's turn, unless more has been delivered than was taken.
+func (c *Conn) CloseIfNoNewData(taken int) {
 	c.w.steps = append(c.w.steps, func() {
 		if c.came == taken {
 			c.end(nil)
--- a/internal/wire/workerlink/conn.go
+++ b/internal/wire/workerlink/conn.go
@@ -16,53 +16,54 @@
 )
 
 const (
-	maxUsed    = 256                    // ids that a connection remembers, so as not to use them again
-	stallLimit = 100 * time.Millisecond // an answer that has begun is whole by then, or never
-	blockLimit = 100 * time.Millisecond // a worker that takes no bytes for so long is not waited for: what it still gets is no older
-	keepBuffer = 64 << 10               // bytes of an empty outbox that are kept for the next messages
+	maxRetiredIDs  = 256                    // retired ids that a connection remembers
+	stallTimeout   = 100 * time.Millisecond // for the rest of a partial answer, and for a sign of life after a call was sent
+	blockedTimeout = 100 * time.Millisecond // for a worker to accept written bytes, so that no call reaches it later than that
+	maxIdleBuffer  = 64 << 10               // bytes of the write buffer that an outbox retains between writes
 )
 
-// conn is one connection. It is connecting until ready, then carries attempts and orders until it ends.
+// conn is one connection to a worker. It carries attempts, load orders and probes from when it is ready until it ends.
 type conn struct {
-	p       *Pool
-	ref     core.Ref
-	h       *host
-	sock    sock.Conn
-	ready   bool
-	ended   bool
-	timer   *core.Deadline // connect, later idle
-	out     outbox
-	blocked bool                       // the worker has not taken all that was written
-	block   *core.Deadline             // of that
-	open    map[string]core.Ref        // attempts by the id spoken on the wire
-	orders  map[string]core.Ref        // likewise
-	probes  map[string]core.Ref        // likewise
-	stall   *core.Deadline             // of an answer that has begun
-	heard   time.Duration              // when something last came
-	sent    map[core.Ref]time.Duration // when the open attempts were given to it
-	quiet   bool                       // has let an attempt end without an answer: gets no other until it speaks
-	// used are ids answered or given up here, or answered before they were asked: what may still come under one
-	// must not be taken for the answer to a later attempt. ring has them in order.
-	used map[string]bool
-	ring []string
+	pool         *Pool
+	ref          core.Ref
+	host         *host
+	sock         sock.Conn
+	ready        bool
+	ended        bool
+	timer        *core.Deadline // connect timeout, and idle timeout once ready
+	outbox       outbox
+	blocked      bool                       // the kernel has not accepted all that was written
+	blockedTimer *core.Deadline             // runs while blocked
+	attempts     map[string]core.Ref        // open attempts by their id on the wire
+	orders       map[string]core.Ref        // open load orders by their id on the wire
+	probes       map[string]core.Ref        // open probes by their id on the wire
+	partialTimer *core.Deadline             // runs while an answer is incomplete
+	lastReceived time.Duration              // when bytes were last received
+	assignedAt   map[core.Ref]time.Duration // when each open attempt was assigned to the connection
+	unresponsive bool                       // an attempt was abandoned without an answer: no new calls until bytes are received
+	// retired holds ids that were answered or abandoned on this connection, or answered before they were used. A late answer under
+	// such an id must not be taken for the answer to a later attempt. retiredOrder lists them from oldest to newest.
+	retired      map[string]bool
+	retiredOrder []string
 }
 
-// retire has an id not used again on the connection, as far as it remembers.
+// retire prevents an id from being used again on the connection. Only the latest maxRetiredIDs ids are remembered.
 func (c *conn) retire(id string) {
-	if c.used[id] {
+	if c.retired[id] {
 		return
 	}
-	if len(c.ring) >= maxUsed {
-		delete(c.used, c.ring[0])
-		c.ring = append(c.ring[:0], c.ring[1:]...)
+	if len(c.retiredOrder) >= maxRetiredIDs {
+		delete(c.retired, c.retiredOrder[0])
+		c.retiredOrder = append(c.retiredOrder[:0], c.retiredOrder[1:]...)
 	}
-	c.used[id], c.ring = true, append(c.ring, id)
+	c.retired[id], c.retiredOrder = true, append(c.retiredOrder, id)
 }
 
-func (c *conn) up(s sock.Conn, err error) {
-	if c.ended { // given up meanwhile
-		if s != nil {
-			s.Close()
+// connected handles the result of the dial.
+func (c *conn) connected(socket sock.Conn, err error) {
+	if c.ended { // failed before the dial finished, for instance by the connect timeout
+		if socket != nil {
+			socket.Close()
 		}
 		return
 	}
@@ -70,177 +71,180 @@
 		c.fail(decide.NoConn, err)
 		return
 	}
-	c.sock, c.ready = s, true
+	c.sock, c.ready = socket, true
 	c.flush()
-	c.rest()
+	c.checkIdle()
 }
 
-// busy marks the connection for writing at the end of the turn, and stops its idle time.
-func (c *conn) busy() {
+// scheduleFlush has the outbox written at the end of the loop iteration, and stops the idle timeout. It is called before a message
+// is queued: an outbox that is not empty is scheduled already.
+func (c *conn) scheduleFlush() {
 	if c.ready {
-		c.p.loop.Cancel(c.timer)
-		if c.out.empty() {
-			c.p.loop.DeferFlush(c.flush)
+		c.pool.loop.Cancel(c.timer)
+		if c.outbox.empty() {
+			c.pool.loop.DeferFlush(c.flush)
 		}
 	}
 }
 
-// idle reports whether nothing is open on the connection.
-func (c *conn) idle() bool { return len(c.open)+len(c.orders)+len(c.probes) == 0 }
+// idle reports whether the connection has no open attempts, orders or probes.
+func (c *conn) idle() bool { return len(c.attempts)+len(c.orders)+len(c.probes) == 0 }
 
-func (c *conn) rest() {
+// checkIdle starts the idle timeout if nothing is open on the connection. An unresponsive connection is closed instead.
+func (c *conn) checkIdle() {
 	if c.ended || !c.ready {
 		return
 	}
-	c.p.loop.Cancel(c.timer)
+	c.pool.loop.Cancel(c.timer)
 	if c.idle() {
-		if c.quiet { // nothing is lost with it, and it may never speak again
-			c.p.loop.DeferFlush(func() { // once the CANCEL is written
-				if c.quiet && c.idle() {
+		if c.unresponsive { // closing loses nothing, and the worker may never answer again
+			c.pool.loop.DeferFlush(func() { // at the end of the iteration, after the CANCEL has been written
+				if c.unresponsive && c.idle() {
 					c.fail(decide.Reset, errors.New("silent"))
 				}
 			})
 			return
 		}
-		c.timer = c.p.loop.After(max(time.Second, c.p.set.ConnIdle-idleMargin), func() { c.fail(decide.Reset, nil) })
+		c.timer = c.pool.loop.After(max(time.Second, c.pool.site.ConnIdle-idleMargin), func() { c.fail(decide.Reset, nil) })
 	}
 }
 
-// flush writes the outbox, unless the worker still has to take what was written before: what waits here can be taken back.
-// What has lapsed since it was queued is not written.
+// flush writes the outbox. While the kernel has not accepted the previous write, messages stay in the outbox, where they can still be
+// withdrawn. Messages that have expired since they were queued are not written.
 func (c *conn) flush() {
 	if c.ended || !c.ready || c.blocked {
 		return
 	}
-	c.withdrawn(c.out.takeAll(c.p.lapsed))
-	if c.ended || c.out.empty() {
+	c.endWithdrawn(c.outbox.removeMatching(c.pool.expired))
+	if c.ended || c.outbox.empty() {
 		return
 	}
-	bytes, calls := c.out.render(c.p.loop)
+	bytes, calls := c.outbox.render(c.pool.loop)
 	if _, err := c.sock.Write(bytes); err != nil {
 		c.fail(decide.Reset, err)
 		return
 	}
-	c.p.ends.Wrote(calls)
+	c.pool.receiver.Wrote(calls)
 	if c.sock.Unsent() > 0 {
 		c.blocked = true
-		c.block = c.p.loop.After(blockLimit, func() { c.fail(decide.Reset, errors.New("worker takes no bytes")) })
+		c.blockedTimer = c.pool.loop.After(blockedTimeout, func() { c.fail(decide.Reset, errors.New("worker takes no bytes")) })
 	}
 }
 
-// unblocked goes on once the worker has taken all that was written.
+// unblocked resumes writing once the kernel has accepted all that was written.
 func (c *conn) unblocked() {
 	if c.ended || !c.blocked {
 		return
 	}
-	c.p.loop.Cancel(c.block)
+	c.pool.loop.Cancel(c.blockedTimer)
 	c.blocked = false
 	c.flush()
 }
 
-// withdraw takes back all calls and orders that are not written yet.
+// withdraw withdraws all calls and orders that have not been written.
 func (c *conn) withdraw() {
-	c.withdrawn(c.out.takeAll(func(m message) bool { return m.kind != commandMessage }))
+	c.endWithdrawn(c.outbox.removeMatching(func(m message) bool { return m.kind != commandMessage }))
 }
 
-// withdrawn ends what was taken out of the outbox: it was never sent.
-func (c *conn) withdrawn(taken []message) {
-	for _, m := range taken {
+// endWithdrawn reports calls and orders that were removed from the outbox as not executed, since they were never sent.
+func (c *conn) endWithdrawn(removed []message) {
+	for _, m := range removed {
 		if m.kind == loadMessage {
 			delete(c.orders, m.id)
-			c.p.ends.Loaded(m.ref, decide.Nop, 0)
+			c.pool.receiver.Loaded(m.ref, decide.Nop, 0)
 			continue
 		}
-		c.forget(m.id, m.ref)
-		c.p.ends.Ended(m.ref, core.AttemptResult{Outcome: decide.Nop})
+		c.removeAttempt(m.id, m.ref)
+		c.pool.receiver.Ended(m.ref, core.AttemptResult{Outcome: decide.Nop})
 	}
-	if len(taken) > 0 {
-		c.rest()
+	if len(removed) > 0 {
+		c.checkIdle()
 	}
 }
 
-// forget drops an attempt from what is open.
-func (c *conn) forget(id string, ref core.Ref) {
-	delete(c.open, id)
-	delete(c.sent, ref)
+// removeAttempt removes an attempt from the open ones.
+func (c *conn) removeAttempt(id string, ref core.Ref) {
+	delete(c.attempts, id)
+	delete(c.assignedAt, ref)
 }
 
-// drop forgets an attempt that was never written.
-func (c *conn) drop(id string, ref core.Ref) {
-	c.forget(id, ref)
-	c.rest()
+// dropUnwritten removes an attempt that was never written. Its id stays usable.
+func (c *conn) dropUnwritten(id string, ref core.Ref) {
+	c.removeAttempt(id, ref)
+	c.checkIdle()
 }
 
-// abandon ends an attempt that nobody waits for.
-func (c *conn) giveUp(id string, ref core.Ref) {
-	if c.out.takeBack(ref) {
-		c.drop(id, ref)
+// abandon ends an attempt whose result is not needed any more: it is withdrawn if unwritten, else a CANCEL is sent for it. If nothing
+// was received since the attempt was sent stallTimeout ago or more, the connection counts as unresponsive.
+func (c *conn) abandon(id string, ref core.Ref) {
+	if c.outbox.withdrawCall(ref) {
+		c.dropUnwritten(id, ref)
 		return
 	}
-	at := c.sent[ref]
-	c.forget(id, ref)
+	assigned := c.assignedAt[ref]
+	c.removeAttempt(id, ref)
 	c.retire(id)
-	c.quiet = c.quiet || c.heard < at && c.p.loop.Now()-at >= stallLimit
-	c.busy()
-	c.out.queueCommand("CANCEL", id)
-	c.rest()
+	c.unresponsive = c.unresponsive || c.lastReceived < assigned && c.pool.loop.Now()-assigned >= stallTimeout
+	c.scheduleFlush()
+	c.outbox.queueCommand("CANCEL", id)
+	c.checkIdle()
 }
 
-// lossLevel is the level at which the end of the connection is logged: debug where nothing is lost with it.
+// lossLevel returns the level at which the end of the connection is logged: debug if no attempt or order is open on it.
 func (c *conn) lossLevel() zapcore.Level {
-	if len(c.open)+len(c.orders) > 0 {
+	if len(c.attempts)+len(c.orders) > 0 {
 		return zapcore.InfoLevel
 	}
 	return zapcore.DebugLevel
 }
 
-// cause notes what an error says of a worker: that nobody listens at its address, or nothing.
-func cause(why error) decide.Note {
+// noteFor classifies a connection error: nobody listens at the worker's address, the fault is on this machine, or neither.
+func noteFor(err error) decide.Note {
 	switch {
-	case errors.Is(why, syscall.ECONNREFUSED):
+	case errors.Is(err, syscall.ECONNREFUSED):
 		return decide.NobodyListens
-	case sock.LocalFault(why):
+	case sock.LocalFault(err):
 		return decide.LocalFault
 	}
 	return decide.NoNote
 }
 
-// fail ends the connection and all that is open on it: what was never written has not run.
-func (c *conn) fail(how decide.Outcome, why error) {
+// fail ends the connection and everything open on it. Calls that were not written end with NoConn, since they have not run.
+func (c *conn) fail(outcome decide.Outcome, err error) {
 	if c.ended {
 		return
 	}
 	c.ended = true
 	if !c.ready {
-		how = decide.NoConn
+		outcome = decide.NoConn
 	}
-	c.p.loop.Cancel(c.timer)
-	c.p.loop.Cancel(c.stall)
-	c.p.loop.Cancel(c.block)
-	c.p.conns.Free(c.ref)
-	c.h.conns = slices.DeleteFunc(c.h.conns, func(o *conn) bool { return o == c })
+	c.pool.loop.Cancel(c.timer)
+	c.pool.loop.Cancel(c.partialTimer)
+	c.pool.loop.Cancel(c.blockedTimer)
+	c.pool.conns.Free(c.ref)
+	c.host.conns = slices.DeleteFunc(c.host.conns, func(other *conn) bool { return other == c })
 	if c.sock != nil {
 		c.sock.Close()
 	}
-	c.p.log.Log(c.lossLevel(), "worker connection lost", zap.String("worker", c.h.name), zap.Bool("connected", c.ready),
-		zap.Int("attempts", len(c.open)), zap.Int("orders", len(c.orders)), zap.Error(why))
+	c.pool.log.Log(c.lossLevel(), "worker connection lost", zap.String("worker", c.host.name), zap.Bool("connected", c.ready),
+		zap.Int("attempts", len(c.attempts)), zap.Int("orders", len(c.orders)), zap.Error(err))
 	unwritten := map[core.Ref]bool{}
-	for _, m := range c.out.messages {
-		if m.kind == callMessage { // orders have refs of their own, which may be the same numbers
+	for _, m := range c.outbox.messages {
+		if m.kind == callMessage { // refs of orders are numbered separately and may equal those of attempts
 			unwritten[m.ref] = true
 		}
 	}
-	for _, ref := range slices.Sorted(maps.Values(c.open)) {
-		end := core.AttemptResult{Outcome: how, Note: cause(why)}
+	for _, ref := range slices.Sorted(maps.Values(c.attempts)) {
+		end := core.AttemptResult{Outcome: outcome, Note: noteFor(err)}
 		if unwritten[ref] {
 			end.Outcome = decide.NoConn
 		}
-		c.p.ends.Ended(ref, end)
+		c.pool.receiver.Ended(ref, end)
 	}
 	for _, ref := range slices.Sorted(maps.Values(c.orders)) {
-		c.p.ends.Loaded(ref, how, 0)
+		c.pool.receiver.Loaded(ref, outcome, 0)
 	}
 	for _, ref := range slices.Sorted(maps.Values(c.probes)) {
-		c.p.ends.Probed(ref, how, nil)
+		c.pool.receiver.Probed(ref, outcome, nil)
 	}
 }
--- a/internal/wire/workerlink/orders_test.go
+++ b/internal/wire/workerlink/orders_test.go
@@ -11,7 +11,8 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-func TestOrders(t *testing.T) {
+// Load orders and unload commands are sent as the protocol has them. An order ends with the worker's answer or with its connection.
+func TestLoadOrderAndUnload(t *testing.T) {
 	r := newRig(t)
 	r.pool.Load(17, "wa", "00000000000000ff", 2)
 	r.Run()
@@ -30,22 +31,23 @@
 	p.Close()
 	r.Run()
 	if want := []string{fmt.Sprint(decide.Full, 1), fmt.Sprint(decide.Reset, 0)}; !slices.Equal(r.loads, want) {
-		t.Errorf("ends %v, want %v", r.loads, want)
+		t.Errorf("outcomes %v, want %v", r.loads, want)
 	}
 }
 
-// Answers bring the worker's load where the settings say so; a report that can't be read costs the answer nothing.
-func TestLoadReports(t *testing.T) {
+// An answer reports the worker's load if the settings include load reports. A report that cannot be parsed does not affect the answer.
+func TestUnreadableLoadReportIsIgnored(t *testing.T) {
 	r := newRig(t)
 	set := wiretest.Site()
 	set.ReportFields = []string{"queue", "inflight"}
-	r.pool.set = set
-	for use, want := range map[string]float64{",use=inflight:7;queue:1": 7, ",use=inflight:x": -2, "": -2, ",use=inflight:1;inflight:1;queue:3": -1} {
+	r.pool.site = set
+	for use, want := range map[string]float64{",use=inflight:7;queue:1": 7, ",use=inflight:x": -2, "": -2,
+		",use=inflight:1;inflight:1;queue:3": -1} {
 		ref := r.send("wa", "")
 		fmt.Fprintf(r.peers["a:1"][0], "%016x OK detail=warm%s 0\r\n\r\n", uint64(ref), use)
 		r.Run()
-		r.want(ref, decide.Good)
-		got := -2.0
+		r.expectOutcomes(ref, decide.Good)
+		got := -2.0 // no report
 		if rep := r.reports[len(r.reports)-1]; rep != nil {
 			got = rep.InFlight
 		}
@@ -55,8 +57,8 @@
 	}
 }
 
-// A probe is answered, lost with its connection, or forgotten when nobody waits any more.
-func TestProbes(t *testing.T) {
+// A probe ends with the worker's answer or with its connection, and not at all once it was forgotten.
+func TestProbeOutcomes(t *testing.T) {
 	r := newRig(t)
 	r.send("wa", "")
 	p := r.peers["a:1"][0]
@@ -75,23 +77,23 @@
 			fmt.Fprintf(p, "probe-%x %s", uint64(ref), c.answer)
 			r.Run()
 		}
-		r.want(ref, c.want...)
+		r.expectOutcomes(ref, c.want...)
 	}
 	r.pool.Forget("wa", 102)
-	p.Write([]byte("probe-66 UP - 0\r\n\r\n")) // too late
+	p.Write([]byte("probe-66 UP - 0\r\n\r\n")) // the answer to probe 102 (0x66), which was forgotten
 	r.Run()
-	r.want(102)
+	r.expectOutcomes(102)
 	r.pool.Probe(103, "wa")
 	r.Run()
 	p.Close()
 	r.Run()
-	r.want(103, decide.Reset)
-	r.pool.set.ReportFields = []string{"queue"}
+	r.expectOutcomes(103, decide.Reset)
+	r.pool.site.ReportFields = []string{"queue"}
 	r.pool.Probe(104, "wb")
 	r.Run()
 	if got := r.peers["b:1"][0].Take(); got != "STATS probe-68\r\n" {
 		t.Errorf("sent %q", got)
 	}
 	r.pool.Probe(105, "nobody")
-	r.want(105, decide.NoConn)
+	r.expectOutcomes(105, decide.NoConn)
 }
--- a/internal/wire/workerlink/outbox.go
+++ b/internal/wire/workerlink/outbox.go
@@ -9,72 +9,72 @@
 	"quillrail/internal/core"
 )
 
-// messageKind tells the messages apart that may be taken back while they are unwritten from those that may not.
+// messageKind distinguishes calls and load orders, which can be withdrawn while they are unwritten, from other commands.
 type messageKind int
 
 const (
 	callMessage messageKind = iota
 	loadMessage
-	commandMessage // anything else
+	commandMessage // CANCEL, UNLOAD, PING or STATS
 )
 
-// message is what a connection has still to write, as a call or as its bytes.
+// message is a message to be written: a call, or the bytes of anything else.
 type message struct {
-	kind  messageKind
-	id    string // as spoken on the wire, of a call or an order to load
-	ref   core.Ref
-	call  core.Attempt  // of a callMessage
-	bytes []byte        // of any other
-	at    time.Duration // when it was queued
+	kind     messageKind
+	id       string // on the wire, of a call or a load order
+	ref      core.Ref
+	call     core.Attempt  // set for a callMessage
+	bytes    []byte        // set for any other kind
+	queuedAt time.Duration // set for calls and load orders
 }
 
-// outbox is what a connection has still to write, in order. Calls and orders can be taken out of it until then. A call's bytes
-// are made as they are written, since its budget is what is left of its time at that moment.
+// outbox holds the messages that a connection has yet to write, in order. Calls and load orders can be withdrawn from it until they
+// are written. A call is encoded only as it is written, because its budget is the time that remains at that moment.
 type outbox struct {
 	messages []message
-	buffer   []byte // of the last write, for the next
+	buffer   []byte // reused by each write
 }
 
 func (o *outbox) empty() bool { return len(o.messages) == 0 }
 
 func (o *outbox) queueCall(a core.Attempt, now time.Duration) {
-	o.messages = append(o.messages, message{kind: callMessage, id: a.Call.ID, ref: a.Ref, call: a, at: now})
+	o.messages = append(o.messages, message{kind: callMessage, id: a.Call.ID, ref: a.Ref, call: a, queuedAt: now})
 }
 
-func (o *outbox) queueLoad(tag string, ref core.Ref, function string, copies int, now time.Duration) {
-	line := fmt.Appendf(nil, "LOAD %s path=%s,pods=%d\r\n", tag, function, copies)
-	o.messages = append(o.messages, message{kind: loadMessage, id: tag, ref: ref, bytes: line, at: now})
+func (o *outbox) queueLoad(id string, ref core.Ref, function string, copies int, now time.Duration) {
+	line := fmt.Appendf(nil, "LOAD %s path=%s,pods=%d\r\n", id, function, copies)
+	o.messages = append(o.messages, message{kind: loadMessage, id: id, ref: ref, bytes: line, queuedAt: now})
 }
 
-// queueCommand queues a line that is a word and its one argument.
-func (o *outbox) queueCommand(word, argument string) {
-	o.messages = append(o.messages, message{kind: commandMessage, bytes: []byte(word + " " + argument + "\r\n")})
+// queueCommand queues a line that consists of a command and its only argument.
+func (o *outbox) queueCommand(command, argument string) {
+	o.messages = append(o.messages, message{kind: commandMessage, bytes: []byte(command + " " + argument + "\r\n")})
 }
 
-// takeBack removes a call that is not written yet, and reports whether there was one.
-func (o *outbox) takeBack(call core.Ref) bool {
-	i := slices.IndexFunc(o.messages, func(m message) bool { return m.kind == callMessage && m.ref == call })
+// withdrawCall removes a call that has not been written, and reports whether it was found.
+func (o *outbox) withdrawCall(ref core.Ref) bool {
+	i := slices.IndexFunc(o.messages, func(m message) bool { return m.kind == callMessage && m.ref == ref })
 	if i >= 0 {
 		o.messages = slices.Delete(o.messages, i, i+1)
 	}
 	return i >= 0
 }
 
-// takeAll removes every message that suits, and returns them.
-func (o *outbox) takeAll(suits func(message) bool) (taken []message) {
+// removeMatching removes and returns all messages for which match is true.
+func (o *outbox) removeMatching(match func(message) bool) (removed []message) {
 	o.messages = slices.DeleteFunc(o.messages, func(m message) bool {
-		if !suits(m) {
+		if !match(m) {
 			return false
 		}
-		taken = append(taken, m)
+		removed = append(removed, m)
 		return true
 	})
-	return taken
+	return removed
 }
 
-// render empties the outbox and returns its bytes, which stand until the next call, and how many calls they hold.
+// render empties the outbox and returns the encoded messages, which are valid until the next render, and how many calls they hold.
 func (o *outbox) render(loop *core.Loop) (bytes []byte, calls int) {
-	if cap(o.buffer) > keepBuffer {
+	if cap(o.buffer) > maxIdleBuffer {
 		o.buffer = nil
 	}
 	o.buffer = o.buffer[:0]
@@ -91,6 +91,7 @@
 	return o.buffer, calls
 }
 
+// appendCall encodes a call. A budget below 1 ms is sent as 1 ms.
 func appendCall(b []byte, call *core.Call, budget time.Duration) []byte {
 	b = append(append(append(b, "CALL "...), call.ID...), " queue="...)
 	b = append(append(b, call.ClassName...), ",path="...)
--- a/internal/wire/workerlink/parser.go
+++ b/internal/wire/workerlink/parser.go
@@ -1,4 +1,5 @@
-// Package workerlink speaks the lines of the workers: calls, cancels and orders out, answers in.
+// Package workerlink connects a gateway to its workers by their line protocol: it sends calls, cancels, load orders and probes, and
+// receives their answers.
 package workerlink
 
 import (
@@ -9,35 +10,35 @@
 	"strings"
 )
 
-// Bounds of an answer.
+// Bounds of an answer in bytes.
 const (
-	maxLine   = 1 << 10
-	maxAnswer = 256 << 10
+	maxLine   = 1 << 10   // of its first line
+	maxAnswer = 256 << 10 // of its body
 )
 
 // Answer is one answer of a worker.
 type Answer struct {
-	ID, Word string
-	Detail   string // how the call found its function
-	Pods     int    // loaded copies, after an order
-	Use      string // load report, as it came
-	Body     []byte
+	ID, Status string
+	Detail     string // whether the function was loaded when the call arrived: warm, cold, joined, load_failed or empty
+	Copies     int    // loaded copies of the function, in the answer to a load order
+	LoadReport string // the worker's load, not parsed yet; empty if it was not sent
+	Body       []byte
 }
 
-// Parser cuts a stream of bytes into answers. After an error it takes nothing more.
+// Parser splits a stream of bytes into answers. After an error it accepts no more bytes.
 type Parser struct {
-	buf  []byte
-	head *Answer // line read, body awaited
-	need int
-	err  error
+	buf      []byte
+	head     *Answer // its line has been read, its body is incomplete
+	bodySize int     // of head, without the final CR LF
+	err      error
 }
 
-var errBody = errors.New("an answer's body does not end in CR LF")
+var errBodyEnd = errors.New("answer body is not followed by CR LF")
 
-// Idle reports whether nothing of an answer has come yet.
+// Idle reports whether no part of an answer is buffered.
 func (p *Parser) Idle() bool { return p.err == nil && p.head == nil && len(p.buf) == 0 }
 
-// Feed takes the next bytes and calls emit for every answer that is whole.
+// Feed takes the next bytes and calls emit for every complete answer.
 func (p *Parser) Feed(b []byte, emit func(Answer)) error {
 	if p.err != nil {
 		return p.err
@@ -48,23 +49,23 @@
 		if p.head == nil {
 			end := bytes.Index(rest, []byte("\r\n"))
 			if end > maxLine || end < 0 && len(rest) > maxLine {
-				p.err = fmt.Errorf("a line of more than %d bytes", maxLine)
+				p.err = fmt.Errorf("answer line is longer than %d bytes", maxLine)
 			} else if end < 0 {
 				break
-			} else if p.head, p.need, p.err = parseLine(string(rest[:end])); p.err == nil {
+			} else if p.head, p.bodySize, p.err = parseLine(string(rest[:end])); p.err == nil {
 				rest = rest[end+2:]
 			}
 			continue
 		}
-		if len(rest) < p.need+2 { // the body and its CR LF
+		if len(rest) < p.bodySize+2 { // the body and its CR LF
 			break
 		}
-		if rest[p.need] != '\r' || rest[p.need+1] != '\n' {
-			p.err = errBody
+		if rest[p.bodySize] != '\r' || rest[p.bodySize+1] != '\n' {
+			p.err = errBodyEnd
 			break
 		}
-		p.head.Body = append([]byte(nil), rest[:p.need]...)
-		rest = rest[p.need+2:]
+		p.head.Body = append([]byte(nil), rest[:p.bodySize]...)
+		rest = rest[p.bodySize+2:]
 		a := *p.head
 		p.head = nil
 		emit(a)
@@ -77,39 +78,40 @@
 	return p.err
 }
 
-// parseLine reads ID WORD FIELDS LENGTH. A line cut short is no answer: an OK without a length would pass for an
-// empty body.
+// parseLine parses the first line of an answer, "ID STATUS FIELDS LENGTH", and returns the answer and the length of its body. All four
+// parts are required: a truncated OK line without a length would otherwise pass for an answer with an empty body.
 func parseLine(line string) (*Answer, int, error) {
 	words := strings.Split(line, " ")
 	if len(words) != 4 || words[0] == "" || words[1] == "" {
-		return nil, 0, fmt.Errorf("%q is not an answer", clip(line))
+		return nil, 0, fmt.Errorf("answer line is %q, expected ID STATUS FIELDS LENGTH", clip(line))
 	}
-	a := &Answer{ID: words[0], Word: words[1]}
+	a := &Answer{ID: words[0], Status: words[1]}
 	if words[2] != "-" {
 		for _, pair := range strings.Split(words[2], ",") {
 			name, value, ok := strings.Cut(pair, "=")
 			if !ok {
-				return nil, 0, fmt.Errorf("%q is not name=value", clip(pair))
+				return nil, 0, fmt.Errorf("answer field is %q, expected name=value", clip(pair))
 			}
 			switch name {
 			case "detail":
 				a.Detail = value
 			case "use":
-				a.Use = value
+				a.LoadReport = value
 			case "pods":
 				n, err := strconv.ParseUint(value, 10, 16)
 				if err != nil {
-					return nil, 0, fmt.Errorf("pods is %q", clip(value))
+					return nil, 0, fmt.Errorf("answer field pods is %q, expected a number from 0 to 65535", clip(value))
 				}
-				a.Pods = int(n)
+				a.Copies = int(n)
 			}
 		}
 	}
 	n, err := strconv.ParseUint(words[3], 10, 31)
 	if err != nil || n > maxAnswer {
-		return nil, 0, fmt.Errorf("%q is not a length up to %d", clip(words[3]), maxAnswer)
+		return nil, 0, fmt.Errorf("answer length is %q, expected a number of bytes up to %d", clip(words[3]), maxAnswer)
 	}
 	return a, int(n), nil
 }
 
+// clip shortens text received from a worker for error messages and for the memory of retired ids.
 func clip(s string) string { return s[:min(len(s), 60)] }
--- a/internal/wire/workerlink/pool.go
+++ b/internal/wire/workerlink/pool.go
@@ -14,155 +14,170 @@
 )
 
 const (
-	spreadOver = 4                      // connections among which the calls to one worker are spread first,
-	spreadWith = 4                      // with so many on each: all that is open on one ends with it
-	connsEach  = 8                      // connections to one worker
-	writeLag   = 150 * time.Millisecond // of turns, between a decision and its write, besides the waits for a connection
-	idleMargin = 3 * time.Second        // we close so long before the worker would, or a call could cross its close
+	// Calls to a worker are first spread over preferredConns connections with preferredCallsPerConn calls on each, because a connection
+	// that fails ends every call on it. Only then are the remaining streams and further connections used.
+	preferredConns        = 4
+	preferredCallsPerConn = 4
+
+	maxConnsPerWorker = 8
+
+	// maxLoopDelay is how long the event loop may take between a decision and its write, in addition to the time spent waiting for a
+	// connection.
+	maxLoopDelay = 150 * time.Millisecond
+
+	// idleMargin is how long before the worker's idle timeout the gateway closes an idle connection. Without it a call could be sent
+	// while the worker closes the connection.
+	idleMargin = 3 * time.Second
 )
 
-// Pool holds the connections to the workers. All of it belongs to the turn.
+// Pool holds the connections to the workers. It is used on the event loop only.
 type Pool struct {
-	loop  *core.Loop
-	net   sock.Dialer
-	set   *settings.Site
-	ends  core.ResultHandler
-	log   *zap.Logger
-	hosts map[string]*host
-	at    map[string]*host // by address: the first of those that have it, linked by next
-	gone  []*host          // that may be dropped once they have no connection
-	conns *core.Table[*conn]
+	loop     *core.Loop
+	dialer   sock.Dialer
+	site     *settings.Site
+	receiver core.ResultHandler
+	log      *zap.Logger
+	hosts    map[string]*host // by id
+	byAddr   map[string]*host // first host at each address, linked to the others by nextAtAddr
+	departed []*host          // hosts no longer listed, dropped once they have no connection
+	conns    *core.Table[*conn]
 }
 
 // New returns a pool of at most limit connections.
-func New(loop *core.Loop, net sock.Dialer, set *settings.Site, limit int, log *zap.Logger) *Pool {
-	return &Pool{loop: loop, net: net, set: set, log: log, hosts: map[string]*host{}, at: map[string]*host{}, conns: core.NewTable[*conn](limit)}
+func New(loop *core.Loop, dialer sock.Dialer, site *settings.Site, limit int, log *zap.Logger) *Pool {
+	return &Pool{loop: loop, dialer: dialer, site: site, log: log, hosts: map[string]*host{}, byAddr: map[string]*host{},
+		conns: core.NewTable[*conn](limit)}
 }
 
-// Limit changes how many connections are held at most.
-func (p *Pool) Limit(n int) { p.conns.SetLimit(n) }
+// SetLimit changes the maximum number of connections.
+func (p *Pool) SetLimit(n int) { p.conns.SetLimit(n) }
 
-// Serve says who takes the ends.
-func (p *Pool) Serve(e core.ResultHandler) { p.ends = e }
+// SetReceiver sets what receives the outcomes of attempts, load orders and probes.
+func (p *Pool) SetReceiver(receiver core.ResultHandler) { p.receiver = receiver }
 
-// Conns is the number of connections, those still to come up included.
+// Conns returns the number of connections, including those being dialled.
 func (p *Pool) Conns() int { return p.conns.Len() }
 
-// host is a worker by its id; a new worker at the same address is another host.
+// host is a worker, identified by its id: another worker that takes over the same address is another host.
 type host struct {
 	name, addr string
-	since      time.Duration
-	gone       bool
+	since      time.Duration // when the worker's process started
+	gone       bool          // no longer listed
 	conns      []*conn
-	next       *host // with the same address
+	nextAtAddr *host // next host with the same address
 }
 
-// ApplyList takes the workers' addresses. A worker that restarted or moved, or whose address another one has taken,
-// has its connections closed: nothing that is still said on them may count for the new one. The work follows from what is told,
-// not from the length of the list.
-func (p *Pool) ApplyList(whole bool, members []core.Member) {
-	if whole {
+// ApplyList updates the workers' addresses; members holds the whole list if complete is set, else only its changes. The connections of a
+// worker that restarted or moved, or whose address another worker has taken, are closed: an answer that still arrives on them must
+// not count for the new process. The cost of an update depends on the number of changes, not on the length of the list.
+func (p *Pool) ApplyList(complete bool, members []core.Member) {
+	if complete {
 		for _, h := range p.hosts {
-			p.depart(h)
+			p.markGone(h)
 		}
 	}
 	for _, m := range members {
-		p.listed(m)
+		p.updateWorker(m)
 	}
-	p.gone = slices.DeleteFunc(p.gone, func(h *host) bool {
+	p.departed = slices.DeleteFunc(p.departed, func(h *host) bool {
 		if h.gone && len(h.conns) == 0 && p.hosts[h.name] == h {
 			delete(p.hosts, h.name)
-			p.leave(h)
+			p.unlinkAddr(h)
 		}
 		return !h.gone || p.hosts[h.name] != h
 	})
 }
 
-func (p *Pool) listed(m core.Member) {
+// updateWorker applies one entry of the list.
+func (p *Pool) updateWorker(m core.Member) {
 	h := p.hosts[m.Name]
 	if h == nil {
 		h = &host{name: m.Name, addr: m.Addr}
 		p.hosts[m.Name] = h
-		p.settle(h)
+		p.linkAddr(h)
 	} else if h.addr != m.Addr || m.Since > h.since {
-		h.closeAll(errors.New("worker was started anew"))
+		h.closeAll(errors.New("worker restarted or moved to another address"))
 	}
 	if h.addr != m.Addr {
-		p.leave(h)
+		p.unlinkAddr(h)
 		h.addr = m.Addr
-		p.settle(h)
+		p.linkAddr(h)
 	}
 	if m.State == decide.Gone {
-		p.depart(h)
+		p.markGone(h)
 	} else {
 		h.gone = false
-		for o := p.at[m.Addr]; o != nil; o = o.next {
-			if o != h {
-				o.closeAll(errors.New("address was given to another worker"))
+		for other := p.byAddr[m.Addr]; other != nil; other = other.nextAtAddr {
+			if other != h {
+				other.closeAll(errors.New("another worker has taken over the address"))
 			}
 		}
 	}
 	h.since = m.Since
 }
 
-// depart notes that a worker is listed no more.
-func (p *Pool) depart(h *host) {
+// markGone records that a worker is no longer listed.
+func (p *Pool) markGone(h *host) {
 	if !h.gone {
-		h.gone, p.gone = true, append(p.gone, h)
+		h.gone, p.departed = true, append(p.departed, h)
 	}
 }
 
-// settle notes a worker under its address, and leave takes it out there.
-func (p *Pool) settle(h *host) { h.next, p.at[h.addr] = p.at[h.addr], h }
+// linkAddr adds a worker to the index by address.
+func (p *Pool) linkAddr(h *host) { h.nextAtAddr, p.byAddr[h.addr] = p.byAddr[h.addr], h }
 
-func (p *Pool) leave(h *host) {
-	before := p.at[h.addr]
+// unlinkAddr removes a worker from the index by address.
+func (p *Pool) unlinkAddr(h *host) {
+	previous := p.byAddr[h.addr]
 	switch {
-	case before == h && h.next == nil:
-		delete(p.at, h.addr)
-	case before == h:
-		p.at[h.addr] = h.next
+	case previous == h && h.nextAtAddr == nil:
+		delete(p.byAddr, h.addr)
+	case previous == h:
+		p.byAddr[h.addr] = h.nextAtAddr
 	default:
-		for before.next != h {
-			before = before.next
+		for previous.nextAtAddr != h {
+			previous = previous.nextAtAddr
 		}
-		before.next = h.next
+		previous.nextAtAddr = h.nextAtAddr
 	}
-	h.next = nil
+	h.nextAtAddr = nil
 }
 
-func (h *host) closeAll(why error) {
+func (h *host) closeAll(err error) {
 	for len(h.conns) > 0 {
-		h.conns[0].fail(decide.Reset, why)
+		h.conns[0].fail(decide.Reset, err)
 	}
 }
 
-// WithdrawUnwritten takes back the calls and orders that are not written yet to workers that may get nothing new: their connection
-// may come up, or take them, when it is too late.
+// WithdrawUnwritten withdraws the unwritten calls and orders for workers that may get nothing new. Otherwise they could still be written later,
+// when the connection is established or no longer blocked.
 func (p *Pool) WithdrawUnwritten(mayGet func(worker string) bool) {
 	p.conns.Each(func(_ core.Ref, c *conn) {
-		if !c.out.empty() && !mayGet(c.h.name) {
+		if !c.outbox.empty() && !mayGet(c.host.name) {
 			c.withdraw()
 		}
 	})
 }
 
-// pick returns the fullest connection that suits: the emptier ones may then lie idle and close.
-func (h *host) pick(suits func(*conn) bool) (best *conn) {
+// pick returns the matching connection with the most open attempts, so that the others can become idle and close. Connections that are
+// ready come before those being dialled.
+func (h *host) pick(match func(*conn) bool) (best *conn) {
 	for _, c := range h.conns {
-		if suits(c) && (best == nil || c.ready && !best.ready || c.ready == best.ready && len(c.open) > len(best.open)) {
+		if match(c) && (best == nil || c.ready && !best.ready || c.ready == best.ready && len(c.attempts) > len(best.attempts)) {
 			best = c
 		}
 	}
 	return best
 }
 
+// dial opens another connection to a worker. At the pool's limit it closes an idle connection to make room. It returns nil if the worker
+// has the maximum number of connections or there is no room.
 func (p *Pool) dial(h *host) *conn {
-	if len(h.conns) >= connsEach {
+	if len(h.conns) >= maxConnsPerWorker {
 		return nil
 	}
-	c := &conn{p: p, h: h, open: map[string]core.Ref{}, orders: map[string]core.Ref{}, probes: map[string]core.Ref{},
-		used: map[string]bool{}, sent: map[core.Ref]time.Duration{}}
+	c := &conn{pool: p, host: h, attempts: map[string]core.Ref{}, orders: map[string]core.Ref{}, probes: map[string]core.Ref{},
+		retired: map[string]bool{}, assignedAt: map[core.Ref]time.Duration{}}
 	ref, ok := p.conns.Put(c)
 	if !ok && p.closeIdle() {
 		ref, ok = p.conns.Put(c)
@@ -172,14 +187,15 @@
 	}
 	c.ref = ref
 	h.conns = append(h.conns, c)
-	limit := p.set.ConnectTimeout
+	limit := p.site.ConnectTimeout
 	c.timer = p.loop.After(limit, func() { c.fail(decide.NoConn, errors.New("connect timed out")) })
-	p.net.Dial(h.addr, limit, &reader{c: c}, func(s sock.Conn, err error) {
-		p.loop.Post(func() { c.up(s, err) })
+	p.dialer.Dial(h.addr, limit, &reader{conn: c}, func(socket sock.Conn, err error) {
+		p.loop.Post(func() { c.connected(socket, err) })
 	})
 	return c
 }
 
+// closeIdle closes the connection that has been idle for the longest time, and reports whether there was one.
 func (p *Pool) closeIdle() bool {
 	var idle *conn
 	p.conns.Each(func(_ core.Ref, c *conn) {
@@ -193,7 +209,7 @@
 	return idle != nil
 }
 
-// Release closes the connections to a worker that carry nothing.
+// Release closes the idle connections to a worker.
 func (p *Pool) Release(name string) {
 	if h := p.hosts[name]; h != nil {
 		for _, c := range append([]*conn(nil), h.conns...) {
--- a/internal/wire/workerlink/send.go
+++ b/internal/wire/workerlink/send.go
@@ -8,51 +8,52 @@
 	"quillrail/internal/core"
 )
 
-// Send writes a call to a worker: on the fullest connection with few calls, then a new one, then any with a stream left.
+// Send queues a call to a worker; connForCall chooses the connection. Without one the attempt ends with NoConn.
 func (p *Pool) Send(a core.Attempt) {
 	h := p.hosts[a.Host]
 	if h == nil {
-		p.ends.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
+		p.receiver.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
 		return
 	}
-	c := p.forCall(h, a.Call.ID)
+	c := p.connForCall(h, a.Call.ID)
 	if c == nil {
-		p.ends.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
+		p.receiver.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
 		return
 	}
-	c.busy()
-	c.out.queueCall(a, p.loop.Now())
-	c.open[a.Call.ID], c.sent[a.Ref] = a.Ref, p.loop.Now()
+	c.scheduleFlush()
+	c.outbox.queueCall(a, p.loop.Now())
+	c.attempts[a.Call.ID], c.assignedAt[a.Ref] = a.Ref, p.loop.Now()
 }
 
-// lapsed reports whether a message must not be written any more: its client has left, its time is over, or it was decided
-// too long ago. A process that was stopped goes on with what it had decided before, and much may have been told meanwhile.
-func (p *Pool) lapsed(m message) bool {
+// expired reports whether a message must not be written any more, because its client has left, its time is over, or it was queued too
+// long ago. The last case covers a process that was suspended: since the decision, the worker may have started to drain.
+func (p *Pool) expired(m message) bool {
 	if m.kind == commandMessage {
 		return false
 	}
-	if p.loop.Clock()-m.at > p.set.ConnectTimeout+blockLimit+writeLag {
+	if p.loop.Clock()-m.queuedAt > p.site.ConnectTimeout+blockedTimeout+maxLoopDelay {
 		return true
 	}
 	call := m.call.Call
 	return m.kind == callMessage && (call.Reply != nil && call.Reply.ClientGone() || m.call.Budget(p.loop) < time.Millisecond)
 }
 
-// forCall returns the connection that a call under this id goes out on, nil if there can be none.
-func (p *Pool) forCall(h *host, id string) *conn {
-	streams := max(1, p.set.StreamsPerConn)
-	with := func(most int) *conn {
+// connForCall returns the connection for a call under this id: one with few calls, then a new one, then any with a free stream. Of
+// several it takes the one with the most calls. It returns nil if there is none and none can be dialled.
+func (p *Pool) connForCall(h *host, id string) *conn {
+	streams := max(1, p.site.StreamsPerConn)
+	connWithRoom := func(limit int) *conn {
 		return h.pick(func(c *conn) bool {
-			_, twice := c.open[id]
-			return len(c.open) < most && !twice && !c.used[id] && !c.quiet && !c.blocked
+			_, inUse := c.attempts[id]
+			return len(c.attempts) < limit && !inUse && !c.retired[id] && !c.unresponsive && !c.blocked
 		})
 	}
-	c := with(min(spreadWith, streams))
-	if c == nil && len(h.conns) < spreadOver {
+	c := connWithRoom(min(preferredCallsPerConn, streams))
+	if c == nil && len(h.conns) < preferredConns {
 		c = p.dial(h)
 	}
 	if c == nil {
-		c = with(streams)
+		c = connWithRoom(streams)
 	}
 	if c == nil {
 		c = p.dial(h)
@@ -60,32 +61,32 @@
 	return c
 }
 
-// Cancel gives an attempt up. One that has not been written yet is taken back.
+// Cancel abandons an attempt, whose end is then not reported. A call that has not been written is withdrawn.
 func (p *Pool) Cancel(name string, ref core.Ref) {
-	if c, id := p.carrier(name, ref); c != nil {
-		c.giveUp(id, ref)
+	if c, id := p.connOfAttempt(name, ref); c != nil {
+		c.abandon(id, ref)
 	}
 }
 
-// WithdrawAttempt takes an attempt back if it has not been written yet, and reports whether it could.
+// WithdrawAttempt withdraws an attempt if it has not been written, and reports whether it did. Its end is then not reported.
 func (p *Pool) WithdrawAttempt(name string, ref core.Ref) bool {
-	c, id := p.carrier(name, ref)
-	if c == nil || !c.out.takeBack(ref) {
+	c, id := p.connOfAttempt(name, ref)
+	if c == nil || !c.outbox.withdrawCall(ref) {
 		return false
 	}
-	c.drop(id, ref)
+	c.dropUnwritten(id, ref)
 	return true
 }
 
-// carrier is the connection that an attempt is open on, and its id there.
-func (p *Pool) carrier(name string, ref core.Ref) (*conn, string) {
+// connOfAttempt returns the connection on which an attempt is open, and the attempt's id on the wire; nil if there is none.
+func (p *Pool) connOfAttempt(name string, ref core.Ref) (*conn, string) {
 	h := p.hosts[name]
 	if h == nil {
 		return nil, ""
 	}
 	for _, c := range h.conns {
-		for id, open := range c.open {
-			if open == ref {
+		for id, attempt := range c.attempts {
+			if attempt == ref {
 				return c, id
 			}
 		}
@@ -93,73 +94,73 @@
 	return nil, ""
 }
 
-// Load orders copies. An order needs a connection, but no stream of it.
+// Load orders a worker to load copies of a function. An order needs a connection but does not occupy one of its streams.
 func (p *Pool) Load(ref core.Ref, name, function string, copies int) {
 	h := p.hosts[name]
 	if h == nil {
-		p.ends.Loaded(ref, decide.NoConn, 0)
+		p.receiver.Loaded(ref, decide.NoConn, 0)
 		return
 	}
-	c := h.pick(func(c *conn) bool { return !c.quiet && !c.blocked })
+	c := h.pick(func(c *conn) bool { return !c.unresponsive && !c.blocked })
 	if c == nil {
 		if c = p.dial(h); c == nil {
-			p.ends.Loaded(ref, decide.NoConn, 0)
+			p.receiver.Loaded(ref, decide.NoConn, 0)
 			return
 		}
 	}
-	tag := "load-" + strconv.FormatUint(uint64(ref), 16)
-	c.busy()
-	c.out.queueLoad(tag, ref, function, copies, p.loop.Now())
-	c.orders[tag] = ref
+	id := "load-" + strconv.FormatUint(uint64(ref), 16)
+	c.scheduleFlush()
+	c.outbox.queueLoad(id, ref, function, copies, p.loop.Now())
+	c.orders[id] = ref
 }
 
-// Probe asks whether a worker answers, and for its load where the site's answers tell one.
+// Probe checks whether a worker answers. If load reports are configured for the site, it also requests the worker's load.
 func (p *Pool) Probe(ref core.Ref, name string) {
 	h := p.hosts[name]
 	if h == nil {
-		p.ends.Probed(ref, decide.NoConn, nil)
+		p.receiver.Probed(ref, decide.NoConn, nil)
 		return
 	}
-	c := h.pick(func(c *conn) bool { return c.ready }) // also one that is quiet: that is what is asked
+	c := h.pick(func(c *conn) bool { return c.ready }) // may be unresponsive: the probe finds out whether it still answers
 	if c == nil {
 		if c = p.dial(h); c == nil {
-			p.ends.Probed(ref, decide.Nop, nil)
+			p.receiver.Probed(ref, decide.Nop, nil)
 			return
 		}
 	}
-	tag := "probe-" + strconv.FormatUint(uint64(ref), 16)
-	word := "PING"
-	if len(p.set.ReportFields) > 0 {
-		word = "STATS"
+	id := "probe-" + strconv.FormatUint(uint64(ref), 16)
+	command := "PING"
+	if len(p.site.ReportFields) > 0 {
+		command = "STATS"
 	}
-	c.busy()
-	c.out.queueCommand(word, tag)
-	c.probes[tag] = ref
+	c.scheduleFlush()
+	c.outbox.queueCommand(command, id)
+	c.probes[id] = ref
 }
 
-// Forget drops an order or a probe that nobody waits for.
+// Forget drops a load order or a probe whose result is not needed any more. The worker is not notified.
 func (p *Pool) Forget(name string, ref core.Ref) {
 	if h := p.hosts[name]; h != nil {
-		id := strconv.FormatUint(uint64(ref), 16)
+		suffix := strconv.FormatUint(uint64(ref), 16)
 		for _, c := range h.conns {
-			for tag, open := range map[string]map[string]core.Ref{"load-" + id: c.orders, "probe-" + id: c.probes} {
-				if _, ok := open[tag]; ok {
-					delete(open, tag)
-					c.retire(tag)
-					c.rest()
+			for id, refs := range map[string]map[string]core.Ref{"load-" + suffix: c.orders, "probe-" + suffix: c.probes} {
+				if _, ok := refs[id]; ok {
+					delete(refs, id)
+					c.retire(id)
+					c.checkIdle()
 				}
 			}
 		}
 	}
 }
 
-// Unload has the idle copies of a function unloaded; there is no answer.
+// Unload tells a worker to unload the idle copies of a function. The worker sends no answer.
 func (p *Pool) Unload(name, function string) {
 	if h := p.hosts[name]; h != nil {
 		if c := h.pick(func(*conn) bool { return true }); c != nil {
-			c.busy()
-			c.out.queueCommand("UNLOAD", function)
-			c.rest()
+			c.scheduleFlush()
+			c.outbox.queueCommand("UNLOAD", function)
+			c.checkIdle()
 		}
 	}
 }
--- a/internal/wire/workerlink/unwritten_test.go
+++ b/internal/wire/workerlink/unwritten_test.go
@@ -9,17 +9,17 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// call is an attempt of a call with a caller of its own.
-func call(ref core.Ref, host, id string) (core.Attempt, *wiretest.Replies) {
+// newAttempt returns an attempt of a new call, and what records the replies to the call.
+func newAttempt(ref core.Ref, host, id string) (core.Attempt, *wiretest.Replies) {
 	caller := &wiretest.Replies{}
 	return core.Attempt{Ref: ref, Host: host, Deadline: 1 << 62, Call: &core.Call{ID: id, ClassName: "read", Reply: caller}}, caller
 }
 
-// While a connection comes up its worker begins to drain: what waits for the connection stays here. The connection comes up
-// only in Run, so that the drain is always first.
-func TestNothingIsWrittenToAWorkerThatDrainsMeanwhile(t *testing.T) {
+// A worker begins to drain while a connection to it is being established: the calls and orders that wait for the connection are not
+// written. The connection is established only in Run, so the drain always comes first.
+func TestUnwrittenMessagesWithdrawnFromDrainingWorker(t *testing.T) {
 	r := newRig(t)
-	a, _ := call(90, "wa", "first")
+	a, _ := newAttempt(90, "wa", "first")
 	r.pool.Send(a)
 	r.pool.Load(91, "wa", "00000000000000ff", 1)
 	r.pool.WithdrawUnwritten(func(worker string) bool { return worker != "wa" })
@@ -27,17 +27,17 @@
 	if got := r.peers["a:1"][0].Take(); got != "" {
 		t.Errorf("sent %q", got)
 	}
-	r.want(90, decide.Nop)
+	r.expectOutcomes(90, decide.Nop)
 	if len(r.loads) != 1 {
-		t.Errorf("the order has ended %d times", len(r.loads))
+		t.Errorf("the order has ended %d times, want 1", len(r.loads))
 	}
 }
 
-// A call whose client has left while the connection came up is not written, though the core has not been told yet.
-func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
+// A call whose client leaves while the connection is being established is not written, although the core has not been notified yet.
+func TestCallOfDisconnectedClientIsNotWritten(t *testing.T) {
 	r := newRig(t)
-	a, caller := call(90, "wa", "first")
-	b, _ := call(91, "wa", "second")
+	a, caller := newAttempt(90, "wa", "first")
+	b, _ := newAttempt(91, "wa", "second")
 	r.pool.Send(a)
 	r.pool.Send(b)
 	caller.HasLeft = true
@@ -45,87 +45,87 @@
 	if got := r.peers["a:1"][0].Take(); strings.Contains(got, "first") || !strings.HasPrefix(got, "CALL second ") {
 		t.Errorf("sent %q", got)
 	}
-	r.want(90, decide.Nop)
-	if r.wrote != 1 {
-		t.Errorf("%d attempts counted as written", r.wrote)
+	r.expectOutcomes(90, decide.Nop)
+	if r.written != 1 {
+		t.Errorf("%d attempts counted as written, want 1", r.written)
 	}
 }
 
-// A worker that takes no bytes is given nothing more: what waits can be taken back, other calls go elsewhere, and in the end
-// the connection is closed, so that what it holds never arrives.
-func TestWorkerThatTakesNoBytes(t *testing.T) {
+// Nothing more is written to a connection whose worker accepts no bytes: messages stay in the outbox where they can be withdrawn, and
+// other calls use another connection. After blockedTimeout the connection is closed, so that the bytes it holds never arrive.
+func TestBlockedConnectionIsAvoidedThenClosed(t *testing.T) {
 	r := newRig(t)
-	r.pool.set.StreamsPerConn = 9
+	r.pool.site.StreamsPerConn = 9
 	first := r.send("wa", "")
-	near := r.peers["a:1"][0].Far()
-	near.Slow = 1000
+	conn := r.peers["a:1"][0].Far()
+	conn.Slow = 1000
 	r.send("wa", "")
 	third := r.send("wa", "")
 	if len(r.peers["a:1"]) != 2 {
-		t.Fatalf("%d connections, a call was given to one that takes nothing", len(r.peers["a:1"]))
+		t.Fatalf("got %d connections, want 2: no call may be assigned to a blocked one", len(r.peers["a:1"]))
 	}
 	r.peers["a:1"][0].Take()
 	r.pool.Cancel("wa", first)
 	if r.Run(); r.peers["a:1"][0].Take() != "" {
-		t.Error("more is written to a connection that takes nothing")
+		t.Error("more was written to a blocked connection")
 	}
-	near.Flush()
+	conn.Flush()
 	if r.Run(); !strings.HasPrefix(r.peers["a:1"][0].Take(), "CANCEL ") {
-		t.Error("nothing is written once there is room")
+		t.Error("the CANCEL was not written once the connection was unblocked")
 	}
-	r.want(third)
+	r.expectOutcomes(third)
 
 	r = newRig(t)
 	r.send("wa", "")
 	r.peers["a:1"][0].Far().Slow = 1000
 	held := r.send("wa", "")
-	r.Pass(blockLimit)
-	r.want(held, decide.Reset)
+	r.Pass(blockedTimeout)
+	r.expectOutcomes(held, decide.Reset)
 	if !r.peers["a:1"][0].Over {
 		t.Error("the connection is still open")
 	}
 }
 
-// An attempt whose request has ended is taken back as long as it is unwritten, and not afterwards.
-func TestUnsend(t *testing.T) {
+// Unsend withdraws an attempt that has not been written, once, and none that has been written.
+func TestUnsendOnlyBeforeWrite(t *testing.T) {
 	r := newRig(t)
-	a, _ := call(90, "wa", "first")
+	a, _ := newAttempt(90, "wa", "first")
 	r.pool.Send(a)
 	if !r.pool.WithdrawAttempt("wa", 90) || r.pool.WithdrawAttempt("wa", 90) || r.pool.WithdrawAttempt("nobody", 90) {
-		t.Error("an unwritten attempt is taken back once")
+		t.Error("an unwritten attempt was not withdrawn exactly once")
 	}
 	written := r.send("wa", "")
 	if r.pool.WithdrawAttempt("wa", written) {
-		t.Error("a written attempt was taken back")
+		t.Error("a written attempt was withdrawn")
 	}
 	if got := r.peers["a:1"][0].Take(); strings.Contains(got, "first") {
 		t.Errorf("sent %q", got)
 	}
 }
 
-// A call that is unwritten when its connection ends has not run, also beside an order whose ref is the same number.
-func TestUnwrittenCallBesideAnOrderOfTheSameRef(t *testing.T) {
+// A call that is unwritten when its connection ends has not run, even if a load order on the connection has the same ref.
+func TestUnwrittenCallWithSameRefAsOrderHasNotRun(t *testing.T) {
 	r := newRig(t)
 	written := r.send("wa", "")
-	a, _ := call(90, "wa", "second")
+	a, _ := newAttempt(90, "wa", "second")
 	r.pool.Send(a)
 	r.pool.Load(90, "wa", "00000000000000ff", 1)
-	r.pool.ApplyList(false, []core.Member{member("wa", "a:1", decide.Ready, 1)}) // started anew: its connections are closed
-	r.want(90, decide.NoConn)
-	r.want(written, decide.Reset)
+	r.pool.ApplyList(false, []core.Member{member("wa", "a:1", decide.Ready, 1)}) // a restart, which closes the worker's connections
+	r.expectOutcomes(90, decide.NoConn)
+	r.expectOutcomes(written, decide.Reset)
 }
 
-// A process that was stopped between a decision and its write does not write it: the worker may have been told to drain, or
-// to end, long ago. The connection comes up only in Run, after the time has passed.
-func TestNothingIsWrittenThatWasDecidedLongAgo(t *testing.T) {
+// A process that was suspended between a decision and its write must not write it, since the worker may have been draining or gone for
+// long. The test establishes the connection only after the time has passed.
+func TestStaleMessagesAreNotWrittenAfterPause(t *testing.T) {
 	r := newRig(t)
-	a, _ := call(90, "wa", "first")
+	a, _ := newAttempt(90, "wa", "first")
 	r.pool.Send(a)
 	r.pool.Load(91, "wa", "00000000000000ff", 1)
-	r.Skip(r.pool.set.ConnectTimeout + blockLimit + writeLag + 1)
-	r.pool.hosts["wa"].conns[0].up(&wiretest.Conn{}, nil)
-	if r.wrote != 0 || len(r.loads) != 1 {
-		t.Errorf("%d attempts written, the order has ended %d times", r.wrote, len(r.loads))
+	r.Skip(r.pool.site.ConnectTimeout + blockedTimeout + maxLoopDelay + 1)
+	r.pool.hosts["wa"].conns[0].connected(&wiretest.Conn{}, nil)
+	if r.written != 0 || len(r.loads) != 1 {
+		t.Errorf("%d attempts written, want 0; the order has ended %d times, want 1", r.written, len(r.loads))
 	}
-	r.want(90, decide.Nop)
+	r.expectOutcomes(90, decide.Nop)
 }
--- a/internal/wire/workerlink/workerlink_test.go
+++ b/internal/wire/workerlink/workerlink_test.go
@@ -13,33 +13,33 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// rig is a pool with two workers played by the test, and what the core would hear.
+// rig is a pool with two workers whose side the test plays. It records what the pool reports to the core.
 type rig struct {
 	*wiretest.World
-	pool    *Pool
-	peers   map[string][]*wiretest.Peer // connections by address, in order
-	ends    map[core.Ref][]decide.Outcome
-	loads   []string
-	next    core.Ref
-	wrote   int // attempts written whole
-	reports []*decide.Report
+	pool     *Pool
+	peers    map[string][]*wiretest.Peer // connections by address, in order
+	outcomes map[core.Ref][]decide.Outcome
+	loads    []string
+	lastRef  core.Ref
+	written  int // attempts completely written
+	reports  []*decide.Report
 }
 
 func (r *rig) Ended(ref core.Ref, e core.AttemptResult) {
-	r.ends[ref], r.reports = append(r.ends[ref], e.Outcome), append(r.reports, e.Report)
+	r.outcomes[ref], r.reports = append(r.outcomes[ref], e.Outcome), append(r.reports, e.Report)
 }
 func (r *rig) Probed(ref core.Ref, how decide.Outcome, report *decide.Report) {
 	r.Ended(ref, core.AttemptResult{Outcome: how, Report: report})
 }
-func (r *rig) Wrote(n int) { r.wrote += n }
+func (r *rig) Wrote(n int) { r.written += n }
 func (r *rig) Loaded(_ core.Ref, how decide.Outcome, copies int) {
 	r.loads = append(r.loads, fmt.Sprint(how, copies))
 }
 
 func newRig(t testing.TB) *rig {
-	r := &rig{World: wiretest.New(t), peers: map[string][]*wiretest.Peer{}, ends: map[core.Ref][]decide.Outcome{}}
+	r := &rig{World: wiretest.New(t), peers: map[string][]*wiretest.Peer{}, outcomes: map[core.Ref][]decide.Outcome{}}
 	r.pool = New(r.Loop, r, wiretest.Site(), 6, r.Log())
-	r.pool.Serve(r)
+	r.pool.SetReceiver(r)
 	for _, addr := range []string{"a:1", "b:1"} {
 		r.Listen(addr, func(c *wiretest.Conn) sock.Handler {
 			p := &wiretest.Peer{Conn: c}
@@ -55,26 +55,28 @@
 	return core.Member{Addr: addr, Host: decide.Host{Name: name, State: state, Since: since}}
 }
 
-// send sends a call under an id of its own, or of its ref.
+// send sends a call under the given id; if that is empty, under one made from its ref.
 func (r *rig) send(host, id string) core.Ref {
-	r.next++
+	r.lastRef++
 	if id == "" {
-		id = fmt.Sprintf("%016x", uint64(r.next))
+		id = fmt.Sprintf("%016x", uint64(r.lastRef))
 	}
-	r.pool.Send(core.Attempt{Ref: r.next, Host: host, Deadline: r.Now() + time.Second, Call: &core.Call{ID: id, ClassName: "read",
+	r.pool.Send(core.Attempt{Ref: r.lastRef, Host: host, Deadline: r.Now() + time.Second, Call: &core.Call{ID: id, ClassName: "read",
 		Function: "00000000000000ff", Key: "k", Body: []byte("in")}})
 	r.Run()
-	return r.next
+	return r.lastRef
 }
 
-func (r *rig) want(ref core.Ref, list ...decide.Outcome) {
+// expectOutcomes checks the outcomes reported so far for an attempt or a probe.
+func (r *rig) expectOutcomes(ref core.Ref, want ...decide.Outcome) {
 	r.T.Helper()
-	if !slices.Equal(r.ends[ref], list) {
-		r.T.Errorf("attempt %d: ends %v, want %v", ref, r.ends[ref], list)
+	if !slices.Equal(r.outcomes[ref], want) {
+		r.T.Errorf("attempt %d: outcomes %v, want %v", ref, r.outcomes[ref], want)
 	}
 }
 
-func TestCallAndAnswer(t *testing.T) {
+// A call is written in the workers' protocol, and a second answer to it is dropped, however the bytes are split.
+func TestCallIsAnsweredOnce(t *testing.T) {
 	for _, chunk := range []int{0, 1, 5} {
 		r := newRig(t)
 		r.Chunk = chunk
@@ -84,32 +86,32 @@
 			t.Errorf("sent %q, want %q", got, want)
 		}
 		p.Write([]byte("0000000000000001 OK detail=warm 3\r\na\r\n\r\n"))
-		p.Write([]byte("0000000000000001 OK detail=warm 0\r\n\r\n")) // a second answer is dropped
+		p.Write([]byte("0000000000000001 OK detail=warm 0\r\n\r\n")) // second answer
 		r.Run()
-		r.want(ref, decide.Good)
+		r.expectOutcomes(ref, decide.Good)
 	}
 }
 
-// Refused, silent and reset differ in what they prove.
-func TestHowConnectionsFail(t *testing.T) {
+// A refused connection and one that times out have carried no call (NoConn); on one that is reset, the call may have run (Reset).
+func TestConnectionFailureOutcomes(t *testing.T) {
 	r := newRig(t)
 	r.Listen("a:1", nil)
-	r.want(r.send("wa", ""), decide.NoConn)
+	r.expectOutcomes(r.send("wa", ""), decide.NoConn)
 	r.Silent["b:1"] = true
 	ref := r.send("wb", "")
-	r.want(ref)
+	r.expectOutcomes(ref)
 	r.Pass(250 * time.Millisecond)
-	r.want(ref, decide.NoConn)
+	r.expectOutcomes(ref, decide.NoConn)
 	r.Silent["b:1"] = false
 	ref = r.send("wb", "")
 	r.peers["b:1"][0].Close()
 	r.Run()
-	r.want(ref, decide.Reset)
-	r.want(r.send("nobody", ""), decide.NoConn)
+	r.expectOutcomes(ref, decide.Reset)
+	r.expectOutcomes(r.send("nobody", ""), decide.NoConn)
 }
 
-// A call given up while its connection still comes up is never written.
-func TestCallTakenBack(t *testing.T) {
+// A call cancelled while its connection is being established is never written.
+func TestCallCancelledWhileConnectingIsNotWritten(t *testing.T) {
 	r := newRig(t)
 	r.pool.Send(core.Attempt{Ref: 90, Host: "wa", Deadline: r.Now() + time.Second, Call: &core.Call{ID: "first", ClassName: "read"}})
 	r.pool.Send(core.Attempt{Ref: 91, Host: "wa", Deadline: r.Now() + time.Second, Call: &core.Call{ID: "second", ClassName: "read"}})
@@ -120,65 +122,67 @@
 	}
 }
 
-// A connection that breaks takes along what is open on it, so calls are spread; all streams serve before a call fails.
+// Calls are spread over connections, since one that breaks ends all calls on it. Once preferredConns connections are open, their remaining
+// streams are used before another connection is dialled.
 func TestCallsAreSpreadOverConnections(t *testing.T) {
 	r := newRig(t)
-	r.pool.set.StreamsPerConn = 2 * spreadWith
-	for i := range spreadOver * spreadWith {
+	r.pool.site.StreamsPerConn = 2 * preferredCallsPerConn
+	for i := range preferredConns * preferredCallsPerConn {
 		r.send("wa", "")
-		if n := len(r.peers["a:1"]); n != 1+i/spreadWith {
-			t.Fatalf("%d connections for %d calls", n, 1+i)
+		if n := len(r.peers["a:1"]); n != 1+i/preferredCallsPerConn {
+			t.Fatalf("got %d connections for %d calls", n, 1+i)
 		}
 	}
-	for range spreadOver * spreadWith {
+	for range preferredConns * preferredCallsPerConn {
 		r.send("wa", "")
 	}
-	if n := len(r.peers["a:1"]); n != spreadOver {
-		t.Errorf("%d connections while streams are left", n)
+	if n := len(r.peers["a:1"]); n != preferredConns {
+		t.Errorf("got %d connections while streams are free, want %d", n, preferredConns)
 	}
 }
 
-// A connection on which an attempt ended without a word gets no other until it speaks, though it is the fullest, and
-// is closed when nothing is open on it.
-func TestSilentConnectionIsAvoided(t *testing.T) {
+// A connection on which an attempt was cancelled after the worker had sent nothing for stallTimeout gets no further calls until it
+// receives bytes, although it has the most calls. It is closed once nothing is open on it.
+func TestUnresponsiveConnectionIsAvoided(t *testing.T) {
 	r := newRig(t)
 	a, b := r.send("wa", "1"), r.send("wa", "2")
 	r.Pass(time.Second)
 	r.pool.Cancel("wa", a)
 	c := r.send("wa", "3")
 	if len(r.peers["a:1"]) != 2 || strings.Contains(r.peers["a:1"][0].Take(), "CALL 3") {
-		t.Fatalf("%d connections", len(r.peers["a:1"]))
+		t.Fatalf("got %d connections, want 2 with the third call on the second", len(r.peers["a:1"]))
 	}
 	r.pool.Cancel("wa", b)
 	if r.Run(); !r.peers["a:1"][0].Over || r.peers["a:1"][1].Over {
-		t.Error("the silent connection is kept, or the other is not")
+		t.Error("the unresponsive connection is still open, or the other is closed")
 	}
 	d := r.send("wa", "4")
 	r.Pass(time.Second)
 	p := r.peers["a:1"][1]
 	p.Write([]byte("3 OK - 0\r\n\r\n"))
 	r.Run()
-	r.want(c, decide.Good)
-	r.pool.Cancel("wa", d) // it has spoken since
+	r.expectOutcomes(c, decide.Good)
+	r.pool.Cancel("wa", d) // the worker has sent bytes since d was sent
 	e := r.send("wa", "5")
-	if r.want(e); len(r.peers["a:1"]) != 2 {
-		t.Error("a connection that answers is avoided")
+	if r.expectOutcomes(e); len(r.peers["a:1"]) != 2 {
+		t.Error("a connection on which the worker answers is avoided")
 	}
 }
 
-// A worker's successor at the same address must not be taken for it, nor a restarted one for what it was.
-func TestAddressUsedAgain(t *testing.T) {
+// Another worker that takes over an address must not be taken for the previous one, nor a restarted worker for its previous process.
+func TestReusedAddressOrRestartResetsAttempts(t *testing.T) {
 	r := newRig(t)
 	old := r.send("wa", "")
 	r.pool.ApplyList(false, []core.Member{member("wa", "a:1", decide.Gone, 0), member("wc", "a:1", decide.Ready, time.Hour)})
 	r.Run()
-	r.want(old, decide.Reset)
+	r.expectOutcomes(old, decide.Reset)
 	ref := r.send("wc", "")
 	r.pool.ApplyList(false, []core.Member{member("wc", "a:1", decide.Ready, 2*time.Hour)})
-	r.want(ref, decide.Reset)
+	r.expectOutcomes(ref, decide.Reset)
 }
 
-func TestGarbageClosesTheConnection(t *testing.T) {
+// An answer that cannot be parsed closes the connection, and the call open on it ends with Reset.
+func TestMalformedAnswerClosesConnection(t *testing.T) {
 	for _, text := range []string{"hello\r\n", "1 OK detail=odd 0\r\n\r\n", "1 WHAT - 0\r\n\r\n", "1 OK - 5\r\nabc\r\n12\r\n",
 		"1 OK - 99999999\r\n", "1 OK - -1\r\n", "1 OK x 0\r\n\r\n", "1 OK pods=q 0\r\n\r\n", strings.Repeat("x", 2000),
 		"1 OK\r\n", "1 OK -\r\n", "1 OK detail=warm\r\n", "1 BUSY\r\n"} {
@@ -187,15 +191,15 @@
 		p := r.peers["a:1"][0]
 		p.Write([]byte(text))
 		r.Run()
-		r.want(ref, decide.Reset)
+		r.expectOutcomes(ref, decide.Reset)
 		if !p.Over {
-			t.Errorf("%.30q: still connected", text)
+			t.Errorf("%.30q: the connection is still open", text)
 		}
 	}
 }
 
-// Idle connections are closed before the worker would close them, and only then.
-func TestIdleConnections(t *testing.T) {
+// An idle connection is closed before the worker would close it, but not while a call is open on it.
+func TestIdleConnectionClosesBeforeWorkerTimeout(t *testing.T) {
 	r := newRig(t)
 	ref := r.send("wa", "1")
 	r.Pass(time.Minute)
@@ -205,9 +209,9 @@
 	}
 	p.Write([]byte("1 OK - 0\r\n\r\n"))
 	r.Run()
-	r.want(ref, decide.Good)
+	r.expectOutcomes(ref, decide.Good)
 	r.Pass(29 * time.Second)
 	if !p.Over || r.pool.Conns() != 0 {
-		t.Errorf("closed %v, %d left", p.Over, r.pool.Conns())
+		t.Errorf("connection closed: %v, want true; %d connections left, want 0", p.Over, r.pool.Conns())
 	}
 }
