--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -154,7 +154,7 @@
 		t.Errorf("answers %q right after the last attempt failed, want one", r.Answers)
 	}
 	r = fx.call(1, 2*time.Second)
-	fx.Pass(2 * time.Second)
+	fx.Advance(2 * time.Second)
 	if len(r.Answers) != 1 {
 		t.Errorf("answers %q at the deadline, want one", r.Answers)
 	}
@@ -189,7 +189,7 @@
 	if len(fx.inFlight) != 1 {
 		t.Errorf("%d attempts after the copy was loaded, want 1", len(fx.inFlight))
 	}
-	fx.Pass(15 * time.Second)
+	fx.Advance(15 * time.Second)
 	if len(r.Answers) != 1 {
 		t.Errorf("answers %q, want one", r.Answers)
 	}
@@ -217,13 +217,13 @@
 			case action == 7 && len(fx.cancelled) > 0:
 				fx.core.Ended(fx.cancelled[n%len(fx.cancelled)].Ref, core.AttemptResult{Outcome: decide.Good, Body: []byte("late")})
 			case action == 8:
-				fx.Pass(time.Duration(n) * 50 * time.Millisecond)
+				fx.Advance(time.Duration(n) * 50 * time.Millisecond)
 			case action == 9:
 				fx.core.ApplyList(false, []core.Member{{Host: decide.Host{Name: fmt.Sprint("w", n%3), Zone: n % 3 % 2,
 					State: decide.HostState(n / 3 % 3)}}})
 			}
 		}
-		fx.Pass(5 * time.Second)
+		fx.Advance(5 * time.Second)
 		for i, r := range fx.replies {
 			if n := len(r.Answers); n > 1 || n == 0 && !fx.clientGone[i] || n == 1 && fx.clientGone[i] {
 				t.Errorf("request %d: answers %q, client gone %v", i, r.Answers, fx.clientGone[i])
--- a/internal/core/metrics_test.go
+++ b/internal/core/metrics_test.go
@@ -62,7 +62,7 @@
 				}
 				check("result")
 			case 5:
-				fx.Pass(time.Duration(rng.IntN(300)) * time.Millisecond)
+				fx.Advance(time.Duration(rng.IntN(300)) * time.Millisecond)
 				check("time")
 			case 6:
 				state := decide.HostState(rng.IntN(3))
@@ -87,7 +87,7 @@
 				check("ban lifted")
 			}
 		}
-		fx.Pass(6 * time.Second)
+		fx.Advance(6 * time.Second)
 		if check("the end"); fx.core.Metrics().Active != 0 || sent == 0 {
 			t.Fatalf("seed %d: %d requests in flight at the end, %d sent", seed, fx.core.Metrics().Active, sent)
 		}
--- a/internal/fleettest/version_test.go
+++ b/internal/fleettest/version_test.go
@@ -25,7 +25,7 @@
 	case "crash":
 		os.Exit(3)
 	case "sheds": // one class in part, as if its callers did not wait
-		lifecycle.Before = func(t httpfront.Taker) httpfront.Taker { return sheds{t} }
+		lifecycle.Before = func(t httpfront.Core) httpfront.Core { return sheds{t} }
 	}
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-type sheds struct{ httpfront.Taker }
+type sheds struct{ httpfront.Core }
 
 func (s sheds) Submit(c core.Call) core.Ref {
 	if c.ClassName == "once" && rand.Float64() < 0.3 {
@@ -59,5 +59,5 @@
 		c.Reply.Refused(0, "")
 		return 0
 	}
-	return s.Taker.Submit(c)
+	return s.Core.Submit(c)
 }
--- a/internal/lifecycle/agreed.go
+++ b/internal/lifecycle/agreed.go
@@ -25,7 +25,7 @@
 // version that misbehaves. Nothing else sets them, and nothing does once the program runs.
 var (
 	Clock  = core.NewSteadyClock(core.SystemReading).Now
-	Before func(httpfront.Taker) httpfront.Taker
+	Before func(httpfront.Core) httpfront.Core
 )
 
 // agreeing adds the part that keeps what the fleet has agreed, where the file says so.
--- a/internal/lifecycle/budget_test.go
+++ b/internal/lifecycle/budget_test.go
@@ -84,7 +84,7 @@
 		l := &ledger{World: w, until: map[string]time.Duration{}, left: map[string]time.Duration{}, written: map[string]int{}}
 		front, _, _ := p.gateway(wiretest.Site(), seed, l, func(core.Record) {
 			if rng.IntN(8) == 0 { // the turn takes long, and writes at its end
-				w.Skip(200 * time.Millisecond)
+				w.Stall(200 * time.Millisecond)
 			}
 		})
 		var clients []*seek
@@ -97,7 +97,7 @@
 			s.Conn, _ = w.Pair(s, func(c *wiretest.Conn) sock.Handler {
 				return &arriving{front.Accept(c), func() {
 					l.until[id] = w.Now() + wait
-					w.Skip(time.Duration(rng.IntN(2)) * 180 * time.Millisecond)
+					w.Stall(time.Duration(rng.IntN(2)) * 180 * time.Millisecond)
 				}}
 			})
 			class := []string{"read", "command"}[rng.IntN(2)]
@@ -106,7 +106,7 @@
 			switch rng.IntN(12) {
 			case 0: // a worker takes no bytes for a while
 				for _, c := range p.conns[fmt.Sprint("w", rng.IntN(6))] {
-					c.Far().Slow = 1000
+					c.Far().UnsentBytes = 1000
 				}
 			case 1, 2:
 				for _, conns := range p.conns {
@@ -118,9 +118,9 @@
 				w.Run()
 				clients[rng.IntN(len(clients))].leave(l)
 			}
-			w.Pass(time.Duration(rng.IntN(60)) * time.Millisecond)
+			w.Advance(time.Duration(rng.IntN(60)) * time.Millisecond)
 		}
-		w.Pass(5 * time.Second)
+		w.Advance(5 * time.Second)
 		further, odd := 0, 0
 		for _, n := range l.written {
 			further += max(0, n-1)
@@ -139,7 +139,7 @@
 
 // leave closes the client's connection, if it still waits.
 func (s *seek) leave(l *ledger) {
-	if len(s.In) == 0 && !s.left {
+	if len(s.Received) == 0 && !s.left {
 		s.left, l.left[s.body] = true, l.Now()
 		s.Close()
 	}
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -46,7 +46,7 @@
 	if c.Operator == "" {
 		return ownSockets
 	}
-	return ownSockets + opfront.Sockets
+	return ownSockets + opfront.Descriptors
 }
 
 type configFile struct {
--- a/internal/lifecycle/end.go
+++ b/internal/lifecycle/end.go
@@ -44,14 +44,14 @@
 	g.log.Info("draining", zap.Int("open", g.core.InFlight()), zap.Int("clients", g.front.Conns()), zap.Bool("handed", handed))
 	if handed { // what waits to be accepted and all that comes is the new process's
 		g.net.StopAccepting()
-		g.front.Leave()
+		g.front.HandOver()
 		if g.calls != nil { // the new process joins the broker once this one has left
 			g.calls.Drain()
 		}
 		g.loop.After(lastFlush, g.leave)
 	} else { // clients are told to stay away, and those that go on on their connections lose them with the next answer
 		g.front.Unready()
-		g.loop.After(platformComes, g.front.Leave)
+		g.loop.After(platformComes, g.front.HandOver)
 		g.loop.After(keepAccept, g.finish)
 	}
 	g.loop.After(g.longest(), func() {
@@ -59,7 +59,7 @@
 			g.log.Warn("out of time", zap.Int("failed", n))
 			g.core.FailAll()
 		}
-		g.front.Closing()
+		g.front.Shutdown()
 		g.loop.After(lastFlush, g.stop) // whether or not a broker still owes an acknowledgement
 	})
 }
@@ -74,13 +74,13 @@
 }
 
 func (g *Gateway) finish() {
-	if g.core.InFlight() > 0 || g.front.Held() > 0 || g.calls != nil && g.calls.Up() && g.calls.Waiting() > 0 {
+	if g.core.InFlight() > 0 || g.front.Unsent() > 0 || g.calls != nil && g.calls.Up() && g.calls.Waiting() > 0 {
 		g.loop.After(10*time.Millisecond, g.finish)
 		return
 	}
-	g.front.Closing()
+	g.front.Shutdown()
 	g.loop.After(lastFlush, func() {
-		if g.core.InFlight() > 0 || g.front.Held() > 0 { // a call came in meanwhile
+		if g.core.InFlight() > 0 || g.front.Unsent() > 0 { // a call came in meanwhile
 			g.finish()
 			return
 		}
--- a/internal/lifecycle/extensions.go
+++ b/internal/lifecycle/extensions.go
@@ -120,9 +120,9 @@
 func (s *Extensions) callOptions(node string) (mqtt.Options, time.Duration) {
 	c := &s.Calls
 	o := mqtt.Options{Broker: c.Broker, ClientID: c.ClientID + "-" + node, Subscribe: c.Listen,
-		Expiry: time.Duration(c.SessionExpiry) * time.Second, KeepAlive: time.Duration(c.KeepAlive) * time.Second}
+		SessionExpiry: time.Duration(c.SessionExpiry) * time.Second, KeepAlive: time.Duration(c.KeepAlive) * time.Second}
 	// The broker may deliver a call again until its session expires; answers are kept for longer.
-	return o, o.Expiry + 2*time.Minute
+	return o, o.SessionExpiry + 2*time.Minute
 }
 
 func (s *Extensions) workerOptions(node string, site *settings.Site) (mqtt.Options, string, []mqtt.Worker, error) {
--- a/internal/lifecycle/never_twice_test.go
+++ b/internal/lifecycle/never_twice_test.go
@@ -159,7 +159,7 @@
 			w.Run()
 			s.Close()
 		}
-		w.Pass(time.Duration(p.rng.IntN(30)) * time.Millisecond)
+		w.Advance(time.Duration(p.rng.IntN(30)) * time.Millisecond)
 		for _, s := range clients {
 			if got := s.Take(); !s.left && got != "" {
 				if s.answers++; strings.Count(got, "HTTP/1.1 ") != 1 {
@@ -173,7 +173,7 @@
 			}
 		}
 	}
-	w.Pass(5 * time.Second)
+	w.Advance(5 * time.Second)
 	for _, s := range clients {
 		if got := s.Take(); !s.left && strings.Count(got, "HTTP/1.1 ") != 1 {
 			odd++
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -41,7 +41,7 @@
 type Gateway struct {
 	loop        *core.Loop
 	core        *core.Core
-	taker       httpfront.Taker // the core, or what stands before it
+	taker       httpfront.Core // the core, or what stands before it
 	net         *sock.Net
 	front       *httpfront.Front
 	pool        *workerlink.Pool
@@ -122,7 +122,7 @@
 	}
 	if c.Operator != "" {
 		door := opfront.New(loop, (*desk)(g), log.Named("operator"))
-		if g.admin, err = sock.Listen(c.Operator, sock.Limits{Descriptors: c.Sockets, Accepted: opfront.Sockets}, door.Accept, log); err != nil {
+		if g.admin, err = sock.Listen(c.Operator, sock.Limits{Descriptors: c.Sockets, Accepted: opfront.Descriptors}, door.Accept, log); err != nil {
 			g.net.Stop()
 			return nil, err
 		}
--- a/internal/wire/bulletin/bulletin_test.go
+++ b/internal/wire/bulletin/bulletin_test.go
@@ -85,7 +85,7 @@
 	s.send(frame(5, 2, record(1, 0, 0)))
 	for name, breakConn := range map[string]func(){
 		"closed":  func() { s.lastPeer().Close() },
-		"silent":  func() { s.lastPeer().Stuck = true },
+		"silent":  func() { s.lastPeer().Blackholed = true },
 		"garbage": func() { s.send([]byte{0, 0, 0, 1, 9}) },
 		"state":   func() { s.send(frame(6, 2, record(1, 9, 0))) },
 		"zone":    func() { s.send(frame(6, 2, record(1, 0, 9))) },
@@ -94,7 +94,7 @@
 	} {
 		n := len(s.peers)
 		breakConn()
-		s.Pass(3 * time.Second)
+		s.Advance(3 * time.Second)
 		if len(s.peers) == n || s.lastPeer().Take() != "\x00\x00\x00\x00\x00\x00\x00\x05" {
 			t.Errorf("%s: %d connections, %d before; or the wrong event was requested", name, len(s.peers), n)
 		}
@@ -111,7 +111,7 @@
 	for name, prepare := range map[string]func(*fixture){
 		"following":  func(s *fixture) {},
 		"pausing":    func(s *fixture) { s.Listen("bulletin", nil); s.lastPeer().Close(); s.Run() },
-		"connecting": func(s *fixture) { s.Silent["bulletin"] = true; s.lastPeer().Close(); s.Pass(firstBackoff) },
+		"connecting": func(s *fixture) { s.Unanswered["bulletin"] = true; s.lastPeer().Close(); s.Advance(firstBackoff) },
 	} {
 		s := newFixture(t)
 		s.send(frame(5, 2, record(1, 0, 0)))
@@ -124,14 +124,14 @@
 		known := []Event{{No: 5}, {No: 6, Members: []core.Member{{Addr: "a:1"}}}, {No: 8}}
 		s.feed.Move("new", known)
 		s.Run()
-		if s.lastPeer() == old || s.lastPeer().Take() != "\x00\x00\x00\x00\x00\x00\x00\x06" || !old.Over || len(s.applied) != 2 {
-			t.Fatalf("%s: %d connections, old one closed: %v, applied %v", name, len(s.peers), old.Over, s.applied)
+		if s.lastPeer() == old || s.lastPeer().Take() != "\x00\x00\x00\x00\x00\x00\x00\x06" || !old.Ended || len(s.applied) != 2 {
+			t.Fatalf("%s: %d connections, old one closed: %v, applied %v", name, len(s.peers), old.Ended, s.applied)
 		}
 		n := len(s.peers)
 		s.send(frame(7, 2, record(2, 0, 0)))
 		s.feed.Move("new", known) // the same address and events again change nothing
 		for range 10 {            // nor do late callbacks and timers of the old address
-			s.Pass(time.Second)
+			s.Advance(time.Second)
 			s.send(frame(7, 0))
 		}
 		if len(s.peers) != n || len(s.applied) != 3 {
@@ -146,7 +146,7 @@
 	b, n := frame(5, 2, record(1, 0, 0)), len(s.peers)
 	for i := range 6 {
 		s.send(b[i : i+1])
-		s.Pass(500 * time.Millisecond)
+		s.Advance(500 * time.Millisecond)
 	}
 	if len(s.peers) == n {
 		t.Error("the feed still waits for the rest of the event")
@@ -157,14 +157,14 @@
 func TestRetriesWhileBulletinIsUnreachable(t *testing.T) {
 	s := newFixture(t)
 	s.lastPeer().Close()
-	s.Silent["bulletin"] = true
-	s.Pass(2 * time.Second)
+	s.Unanswered["bulletin"] = true
+	s.Advance(2 * time.Second)
 	dials := s.Dials
-	if s.Pass(5 * time.Second); s.Dials-dials < 4 || s.Dials-dials > 20 {
+	if s.Advance(5 * time.Second); s.Dials-dials < 4 || s.Dials-dials > 20 {
 		t.Errorf("%d dials in 5 s, want 4 to 20", s.Dials-dials)
 	}
-	s.Silent["bulletin"] = false
-	s.Pass(1500 * time.Millisecond)
+	s.Unanswered["bulletin"] = false
+	s.Advance(1500 * time.Millisecond)
 	s.send(frame(5, 2, record(1, 0, 0)))
 	if len(s.applied) != 1 {
 		t.Errorf("applied %d changes after the bulletin was reachable again, want 1", len(s.applied))
@@ -197,12 +197,12 @@
 	f.Add([]byte{0, 3, 0, 0, 3, 1, 1, 0, 4, 4, 2, 0}, 1)
 	f.Fuzz(func(t *testing.T, steps []byte, chunk int) {
 		s := newFixture(t)
-		s.Chunk = max(0, min(chunk, 40))
+		s.MaxChunk = max(0, min(chunk, 40))
 		published, sentTo := uint64(4), map[*wiretest.Peer]uint64{}
 		push := func() { // sends each connection the events that its client does not have
 			for _, p := range s.peers {
-				if _, ok := sentTo[p]; !ok && len(p.In) == 8 {
-					sentTo[p] = binary.BigEndian.Uint64(p.In)
+				if _, ok := sentTo[p]; !ok && len(p.Received) == 8 {
+					sentTo[p] = binary.BigEndian.Uint64(p.Received)
 				}
 				for last, ok := sentTo[p]; ok && last < published; last++ {
 					p.Write(frame(last+1, 2, record(uint32(last+1), 0, 0)))
@@ -219,16 +219,16 @@
 			case 2:
 				s.lastPeer().Close()
 			case 3:
-				s.lastPeer().Stuck = true
+				s.lastPeer().Blackholed = true
 			case 4:
-				s.Pass(time.Duration(step) * 20 * time.Millisecond)
+				s.Advance(time.Duration(step) * 20 * time.Millisecond)
 			case 5:
 				s.send([]byte{0, 0, 0, 2, step})
 			}
 			s.Run()
 		}
 		for range 20 { // in some of these rounds the feed has no connection
-			s.Pass(300 * time.Millisecond)
+			s.Advance(300 * time.Millisecond)
 			push()
 		}
 		for i, m := range s.applied {
--- a/internal/wire/bulletin/late_test.go
+++ b/internal/wire/bulletin/late_test.go
@@ -18,12 +18,12 @@
 
 // passWithFrames lets time pass, and delivers each connection's frames when they are due.
 func (l *delayedFixture) passWithFrames(d time.Duration) {
-	for end := l.Now() + d; l.Now() < end; l.Pass(50 * time.Millisecond) {
+	for end := l.Now() + d; l.Now() < end; l.Advance(50 * time.Millisecond) {
 		for _, p := range l.peers {
 			if _, known := l.nextFrameAt[p]; !known {
 				l.nextFrameAt[p] = l.Now() + l.delay
 			}
-			if l.Now() >= l.nextFrameAt[p] && !p.Over {
+			if l.Now() >= l.nextFrameAt[p] && !p.Ended {
 				l.nextFrameAt[p] += time.Second
 				l.heartbeats[p]++
 				p.Write(frame(4, 0))
--- a/internal/wire/httpfront/answer.go
+++ b/internal/wire/httpfront/answer.go
@@ -14,33 +14,33 @@
 	"quillrail/internal/wire/form"
 )
 
-// exchange is one request and takes its answer, once.
+// exchange is one request in flight. It takes the answer of the core, once; later answers are dropped.
 type exchange struct {
-	c    *conn
-	req  core.Ref
-	last bool // the client wants the connection closed after it
+	conn            *conn
+	ref             core.Ref
+	closeAfterWrite bool // the client wants the connection closed after the answer
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large", 502: "Bad Gateway",
-	503: "Service Unavailable", 504: "Gateway Timeout"}
+var statusTexts = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large", 431: "Request Header Fields Too Large",
+	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout"}
 
-func (c *conn) respond(status int, fields string, body []byte, last bool) {
+func (c *conn) writeResponse(status int, fields string, body []byte, last bool) {
 	if c.gone {
 		return
 	}
 	if len(c.out) == 0 {
-		c.f.loop.DeferFlush(c.flush)
+		c.front.loop.DeferFlush(c.flush)
 	}
 	c.out = append(c.out, "HTTP/1.1 "...)
 	c.out = strconv.AppendInt(c.out, int64(status), 10)
-	c.out = append(append(c.out, ' '), reasons[status]...)
+	c.out = append(append(c.out, ' '), statusTexts[status]...)
 	c.out = append(append(c.out, "\r\n"...), fields...)
 	if last {
 		c.out = append(c.out, "Connection: close\r\n"...)
-		c.last = true
-		c.shut.Store(true)
-		c.f.loop.Cancel(c.timer) // it may be due in this same sweep, ahead of the answer's bytes
+		c.closeAfterWrite = true
+		c.discarding.Store(true)
+		c.front.loop.Cancel(c.timer) // it may be due in this same loop iteration, before the answer is written
 	}
 	c.out = append(c.out, "Content-Length: "...)
 	c.out = strconv.AppendInt(c.out, int64(len(body)), 10)
@@ -57,127 +57,127 @@
 	}
 	switch {
 	case err != nil:
-		c.drop(writeFailed)
-	case c.sock.Unsent() > 0: // the client reads slowly; a close now would cut its answer
-		c.hold()
-	case c.last:
-		c.ended()
+		c.closeNow(writeFailed)
+	case c.sock.Unsent() > 0: // the client reads slowly; closing now would truncate its answer
+		c.awaitReader()
+	case c.closeAfterWrite:
+		c.answerWritten()
 	}
 }
 
-// hold waits for a client that reads slowly. What is kept for all of them is bounded: past it the one that has been at
-// it longest is cut off.
-func (c *conn) hold() {
-	f := c.f
+// awaitReader waits for a client that reads slowly. The bytes that wait for all such clients are limited: above the limit, the
+// connections whose clients have been reading for longest are closed.
+func (c *conn) awaitReader() {
+	f := c.front
 	n := c.sock.Unsent()
-	f.held += n - c.held
-	c.held, c.slow = n, true
-	c.rest(slowLimit)
-	for f.held > f.mayHold {
-		f.log.Warn("a client that reads slowly was cut off", zap.Int("held", f.held), zap.Int("most", f.mayHold))
-		f.slowest(c).drop(readsSlowly)
+	f.unsent += n - c.unsent
+	c.unsent, c.slowReader = n, true
+	c.setTimeout(writeTimeout)
+	for f.unsent > f.maxUnsent {
+		f.log.Warn("a client that reads slowly was cut off", zap.Int("held", f.unsent), zap.Int("most", f.maxUnsent))
+		f.slowestReader(c).closeNow(readTooSlowly)
 	}
 }
 
-// slowest is the connection whose client has been taking its answer for longest, or that one where there is no other.
-func (f *Front) slowest(oldest *conn) *conn {
+// slowestReader is the connection whose client has been reading its answer for longest, or the given one if there is no other.
+func (f *Front) slowestReader(oldest *conn) *conn {
 	f.conns.Each(func(_ core.Ref, o *conn) {
-		if o.slow && (oldest == nil || o.timer.Before(oldest.timer)) {
+		if o.slowReader && (oldest == nil || o.timer.Before(oldest.timer)) {
 			oldest = o
 		}
 	})
 	return oldest
 }
 
-// letGo says that nothing is kept for the client any more.
-func (c *conn) letGo() {
-	c.f.held -= c.held
-	c.held, c.slow = 0, false
+// releaseUnsent forgets the unsent bytes, once they are written or the connection has ended.
+func (c *conn) releaseUnsent() {
+	c.front.unsent -= c.unsent
+	c.unsent, c.slowReader = 0, false
 }
 
-// ended does what is due once an answer has left.
-func (c *conn) ended() {
+// answerWritten decides what follows when the answers have been sent.
+func (c *conn) answerWritten() {
 	switch {
-	case c.last && !c.spill: // more input would have the close take the answer back: then it is read for a while
-		c.rest(lingerLimit)
-		c.why = lastAnswer
-		c.sock.CloseIfNoNewData(c.taken)
-	case c.last:
-		c.rest(lingerLimit)
-	case c.open == nil:
-		c.settle()
-	default: // the next request was begun before its client had taken the answer; the time for that is over
-		c.f.loop.Cancel(c.timer)
+	case c.closeAfterWrite && !c.linger: // closed unless there is more input, which is then read for a while: a close would lose the answer
+		c.setTimeout(lingerTimeout)
+		c.closedFor = lastAnswer
+		c.sock.CloseIfNoNewData(c.processed)
+	case c.closeAfterWrite:
+		c.setTimeout(lingerTimeout)
+	case c.current == nil:
+		c.awaitRequest()
+	default: // the next request was started before the client had read the answer; writeTimeout no longer applies
+		c.front.loop.Cancel(c.timer)
 	}
 }
 
-func (x *exchange) end(status int, fields string, body []byte) {
-	c := x.c
-	if c.open != x { // answered, or its client has gone
+func (x *exchange) finish(status int, fields string, body []byte) {
+	c := x.conn
+	if c.current != x { // already answered, or the client has left
 		return
 	}
-	c.open = nil
-	c.reply(status, fields, body, x.last)
-	c.next()
+	c.current = nil
+	c.reply(status, fields, body, x.closeAfterWrite)
+	c.startNext()
 }
 
 // ClientGone reports whether the client is known to have closed its connection.
-func (x *exchange) ClientGone() bool { return x.c.left.Load() }
+func (x *exchange) ClientGone() bool { return x.conn.clientClosed.Load() }
 
 // Served passes on the worker's body unchanged.
 func (x *exchange) Served(body []byte) {
-	x.end(200, "Content-Type: application/octet-stream\r\n", body)
+	x.finish(200, "Content-Type: application/octet-stream\r\n", body)
 }
 
-// ServedAt is Served for a call of a session that is kept to one site: the client is told the epoch of that.
+// ServedAt is Served for a call of a session that is bound to one site: the client is sent that site's epoch.
 func (x *exchange) ServedAt(body []byte, epoch uint64) {
-	x.end(200, fmt.Sprintf("Content-Type: application/octet-stream\r\nSrv-Epoch: %d\r\n", epoch), body)
+	x.finish(200, fmt.Sprintf("Content-Type: application/octet-stream\r\nSrv-Epoch: %d\r\n", epoch), body)
 }
 
-// Refused tells the client how long to stay away, and the reason where there is one.
+// Refused sends the client how long to wait before it tries again, and the reason if there is one.
 func (x *exchange) Refused(pause time.Duration, why string) {
 	var body []byte
 	if why != "" {
 		body = []byte(why + "\n")
 	}
-	x.end(503, fmt.Sprintf("Srv-Wait-Ms: %d\r\n", pause.Milliseconds()), body)
+	x.finish(503, fmt.Sprintf("Srv-Wait-Ms: %d\r\n", pause.Milliseconds()), body)
 }
 
-// Failed promises nothing.
+// Failed answers a call without a result. The answer does not state whether the call has run.
 func (x *exchange) Failed(why core.Failure) {
 	switch why {
 	case core.TimedOut:
-		x.end(504, "", nil)
+		x.finish(504, "", nil)
 	case core.Duplicate:
-		x.end(409, "", []byte("the request id is open\n"))
+		x.finish(409, "", []byte("the request id is open\n"))
 	default:
-		x.end(502, "", nil)
+		x.finish(502, "", nil)
 	}
 }
 
 // toCall reads a call from a request.
 func toCall(r *Request, set *settings.Site) (core.Call, error) {
-	rest, inside := strings.CutPrefix(r.Path, "/do/")
-	name, whole := strings.CutSuffix(rest, "/call")
-	if !inside || !whole {
-		return core.Call{}, bad(404, "no such path")
+	rest, hasPrefix := strings.CutPrefix(r.Path, "/do/")
+	name, hasSuffix := strings.CutSuffix(rest, "/call")
+	if !hasPrefix || !hasSuffix {
+		return core.Call{}, badRequestf(404, "no such path")
 	}
 	if r.Method != "POST" {
-		return core.Call{}, bad(405, "a call is a POST")
+		return core.Call{}, badRequestf(405, "a call is a POST")
 	}
-	if r.Twice != "" {
-		return core.Call{}, bad(400, "two values of %s", r.Twice)
+	if r.Ambiguous != "" {
+		return core.Call{}, badRequestf(400, "two values of %s", r.Ambiguous)
 	}
 	h := r.Header
 	call, err := form.Raw{Function: name, ID: h["req-id"], Class: h["x-class"], Tenant: h["req-owner"],
 		Key: h["req-token"], WaitMs: h["req-wait-ms"], CostMs: h["req-cost"], Tags: h["x-tags"],
 		Retry: h["req-retry"]}.Call(set)
 	if errors.Is(err, form.ErrFunction) {
-		return call, bad(404, "%v", err)
+		return call, badRequestf(404, "%v", err)
 	}
 	if err != nil {
-		return call, bad(400, "%v", err)
+		return call, badRequestf(400, "%v", err)
 	}
-	call.Body, call.Received = r.Body, r.Came
+	call.Body, call.Received = r.Body, r.ReceivedAt
 	return call, nil
 }
--- a/internal/wire/httpfront/close.go
+++ b/internal/wire/httpfront/close.go
@@ -4,57 +4,57 @@
 	"go.uber.org/zap"
 )
 
-// closeReason says why a client's connection is closed.
+// closeReason is why this side closes a client's connection. It is logged.
 type closeReason string
 
 // The reasons for which this side closes.
 const (
-	idleTooLong    closeReason = "idle"
-	madeRoom       closeReason = "makes room for others"
-	frontLeaves    closeReason = "the process ends, or clients are sent away"
-	lastAnswer     closeReason = "last answer written"
-	answerNotTaken closeReason = "its client has not taken the answer in time"
-	readsSlowly    closeReason = "its client reads slowly, and others need the room"
-	writeFailed    closeReason = "write failed"
+	idleTooLong   closeReason = "idle"
+	madeRoom      closeReason = "makes room for other connections"
+	frontClosing  closeReason = "the process ends or the front drains"
+	lastAnswer    closeReason = "last answer written"
+	answerTimeout closeReason = "the client has not read the answer in time"
+	readTooSlowly closeReason = "the client reads slowly, and others need the room"
+	writeFailed   closeReason = "write failed"
 )
 
-// part closes a connection without an open request. Bytes may have come meanwhile, to the mailbox or the socket: then it stays,
-// and their request is answered and ends it.
-func (c *conn) part(why closeReason) {
-	c.parts, c.why = true, why
-	c.sock.CloseIfNoNewData(c.taken)
+// closeIfIdle closes a connection without a request in flight, unless input has arrived that the event loop has not handled,
+// be it posted to the loop or still in the socket. That request is then answered, and its answer closes the connection.
+func (c *conn) closeIfIdle(why closeReason) {
+	c.closePending, c.closedFor = true, why
+	c.sock.CloseIfNoNewData(c.processed)
 }
 
-// stay goes on with a connection that was to be closed and has had more, but no whole request.
-func (c *conn) stay() {
-	if c.busy {
-		c.rest(readLimit)
+// keepOpen handles input without a whole request on a connection that was to be closed.
+func (c *conn) keepOpen() {
+	if c.partial {
+		c.setTimeout(readTimeout)
 		return
 	}
-	c.part(c.why)
+	c.closeIfIdle(c.closedFor)
 }
 
-// closed forgets a connection that has ended, whichever side ended it. err is what its socket ended with.
+// closed frees a connection that has ended, whichever side ended it. err is the error with which its socket ended.
 func (c *conn) closed(err error) {
 	if c.gone {
 		return
 	}
 	c.gone = true
-	c.letGo()
-	c.f.loop.Cancel(c.timer)
-	c.f.conns.Free(c.ref)
-	open := c.open != nil
-	if x := c.open; x != nil {
-		c.open = nil
-		c.f.core.ClientGone(x.req)
+	c.releaseUnsent()
+	c.front.loop.Cancel(c.timer)
+	c.front.conns.Free(c.ref)
+	open := c.current != nil
+	if x := c.current; x != nil {
+		c.current = nil
+		c.front.core.ClientGone(x.ref)
 	}
-	c.f.log.Debug("client connection closed", zap.String("why", string(c.why)), zap.Bool("open", open),
+	c.front.log.Debug("client connection closed", zap.String("why", string(c.closedFor)), zap.Bool("open", open),
 		zap.Int("waiting", len(c.queue)), zap.Error(err))
 }
 
-// drop closes a connection at once, whatever it still holds.
-func (c *conn) drop(why closeReason) {
-	c.why = why
+// closeNow closes a connection at once and discards what is still to be sent or answered.
+func (c *conn) closeNow(why closeReason) {
+	c.closedFor = why
 	c.sock.Close()
 	c.closed(nil)
 }
--- a/internal/wire/httpfront/conn.go
+++ b/internal/wire/httpfront/conn.go
@@ -10,206 +10,207 @@
 	"quillrail/internal/wire/sock"
 )
 
-// conn is one client's connection. The parser and spilt belong to the I/O goroutine, the rest to the turn.
+// conn is the connection of one client. parser and discarded belong to the I/O goroutine, all other fields to the event loop.
 type conn struct {
-	f      *Front
-	sock   sock.Conn
-	parser Parser
-	spilt  int         // bytes read and discarded
-	shut   atomic.Bool // nothing more is taken: the last answer is under way
-	left   atomic.Bool // the client has closed or reset it; the turn may not have been told yet
-
-	unanswered atomic.Int32 // requests read whole that have no answer yet
-
-	ref   core.Ref
-	taken int       // calls of Data that the turn has come to
-	parts bool      // is to be closed, unless more comes: that is answered first
-	open  *exchange // the request that is being answered
-	queue []*Request
-	fault *BadRequest // what came behind the queue, to be answered last
-	out   []byte
-	fresh bool // no whole request has come yet
-	busy  bool // part of a request has come
-	last  bool // close once out is written
-	slow  bool // the client has not made room for all of the last answer
-	held  int  // so much was kept for it when it was last seen
-	spill bool // but read and discard for a while before: a close with input unread would take the answer back
-	gone  bool
-	timer *core.Deadline
-
-	restedAt time.Duration // when timer was set
-	why      closeReason   // of a close by this side
+	front        *Front
+	sock         sock.Conn
+	parser       Parser
+	discarded    int         // bytes of input read and discarded
+	discarding   atomic.Bool // all further input is discarded: the last answer is being sent
+	clientClosed atomic.Bool // the client has closed or reset the connection; the event loop may not have handled that yet
+
+	unanswered atomic.Int32 // requests read whole but not answered yet
+
+	ref             core.Ref
+	processed       int         // calls of Data that the event loop has handled
+	closePending    bool        // the connection is to be closed unless input arrives first, which is then answered
+	current         *exchange   // the request in flight
+	queue           []*Request  // whole requests that follow it
+	badRequest      *BadRequest // unreadable input behind the queue, which gets the last answer
+	out             []byte
+	noRequestYet    bool // no whole request has arrived yet
+	partial         bool // part of a request has arrived
+	closeAfterWrite bool // close the connection once out is written
+	slowReader      bool // the client has not read all of the last answer
+	unsent          int  // the part of it that is counted in Front.unsent, in bytes
+	linger          bool // before the close, discard input for lingerTimeout: a close with unread input would reset the connection
+	gone            bool // the connection has ended
+	timer           *core.Deadline
+
+	timerSetAt time.Duration // when timer was last set
+	closedFor  closeReason   // why this side closes the connection
 }
 
 func (c *conn) Data(b []byte) error {
-	if c.shut.Load() {
-		if c.spilt += len(b); c.spilt > lingerBytes {
-			return errSpilt
+	if c.discarding.Load() {
+		if c.discarded += len(b); c.discarded > maxLingerBytes {
+			return errTooMuchInput
 		}
 		return nil
 	}
-	var got []*Request
+	var requests []*Request
 	err := c.parser.Feed(b, func(r *Request) error {
-		if c.unanswered.Load() > pipelined {
-			return bad(400, "too many requests at once")
+		if c.unanswered.Load() > maxPipelined {
+			return badRequestf(400, "too many requests at once")
 		}
 		c.unanswered.Add(1)
-		r.Came = c.f.loop.Clock()
-		got = append(got, r)
+		r.ReceivedAt = c.front.loop.Clock()
+		requests = append(requests, r)
 		return nil
 	})
-	busy := !c.parser.Idle()
+	partial := !c.parser.Idle()
 	if err != nil {
-		c.shut.Store(true)
+		c.discarding.Store(true)
 	}
-	c.f.loop.Post(func() { c.take(got, busy, err) })
+	c.front.loop.Post(func() { c.received(requests, partial, err) })
 	return nil
 }
 
-// Flushed says that the client has made room for all that was written.
-func (c *conn) Flushed() { c.f.loop.Post(c.flushed) }
+// Flushed is called when the client has made room for all that was written.
+func (c *conn) Flushed() { c.front.loop.Post(c.flushed) }
 
 func (c *conn) flushed() {
-	if c.gone || !c.slow {
+	if c.gone || !c.slowReader {
 		return
 	}
-	if c.letGo(); len(c.out) > 0 { // something was written meanwhile, and is flushed in this turn
+	if c.releaseUnsent(); len(c.out) > 0 { // something was written meanwhile; it is flushed in this loop iteration
 		return
 	}
-	if c.ended(); !c.gone {
-		c.next()
+	if c.answerWritten(); !c.gone {
+		c.startNext()
 	}
 }
 
-// Closed notes at once that the client has left, for what the turn does before it comes to the message.
+// Closed records at once that the client has left, for code on the event loop that runs before the posted message.
 func (c *conn) Closed(err error) {
-	c.left.Store(true)
-	c.f.loop.Post(func() { c.closed(err) })
+	c.clientClosed.Store(true)
+	c.front.loop.Post(func() { c.closed(err) })
 }
 
 func (c *conn) opened() {
-	if c.f.conns.Len() >= c.f.soft {
-		c.f.makeRoom(false)
-	}
-	ref, ok := c.f.conns.Put(c)
-	if !ok { // the listener accepts no more than find a place; what it accepted has an answer all the same
-		c.f.log.Warn("too many client connections", zap.Int("open", c.f.conns.Len()))
-		c.spill = true
-		c.respond(503, awayFields, nil, true)
+	if c.front.conns.Len() >= c.front.softMaxConns {
+		c.front.makeRoom(false)
+	}
+	ref, ok := c.front.conns.Put(c)
+	if !ok { // the listener accepts no more than maxConns, but a connection that it did accept gets an answer
+		c.front.log.Warn("too many client connections", zap.Int("open", c.front.conns.Len()))
+		c.linger = true
+		c.writeResponse(503, drainHeader, nil, true)
 		return
 	}
 	c.ref = ref
-	c.rest(c.f.idle(readLimit))
-	c.f.relieve()
+	c.setTimeout(c.front.idleTime(readTimeout))
+	c.front.scheduleMakeRoom()
 }
 
-// rest sets the time after which a connection without an open request is closed. Half a request gets an answer.
-func (c *conn) rest(d time.Duration) {
-	c.f.loop.Cancel(c.timer)
-	c.restedAt = c.f.loop.Now()
-	c.timer = c.f.loop.After(d, func() {
-		if c.busy && !c.last && !c.slow {
-			c.spill = true
-			c.respond(408, "", nil, true)
+// setTimeout sets the time after which a connection without a request in flight is closed. A partial request is answered with 408.
+func (c *conn) setTimeout(d time.Duration) {
+	c.front.loop.Cancel(c.timer)
+	c.timerSetAt = c.front.loop.Now()
+	c.timer = c.front.loop.After(d, func() {
+		if c.partial && !c.closeAfterWrite && !c.slowReader {
+			c.linger = true
+			c.writeResponse(408, "", nil, true)
 			return
 		}
-		if c.last || c.slow { // its answer has had its time
-			c.drop(answerNotTaken)
+		if c.closeAfterWrite || c.slowReader { // the time for its answer is over
+			c.closeNow(answerTimeout)
 			return
 		}
-		c.part(idleTooLong)
+		c.closeIfIdle(idleTooLong)
 	})
 }
 
-// settle is rest after an answer: for the next request, of which a part may be there.
-func (c *conn) settle() {
-	if c.busy {
-		c.rest(readLimit)
+// awaitRequest sets the timeout for the next request after an answer; part of that request may have arrived.
+func (c *conn) awaitRequest() {
+	if c.partial {
+		c.setTimeout(readTimeout)
 	} else {
-		c.rest(c.f.idle(idleLimit))
+		c.setTimeout(c.front.idleTime(idleTimeout))
 	}
 }
 
-func (c *conn) take(got []*Request, busy bool, err error) {
-	c.taken++
-	if c.gone || c.last {
+func (c *conn) received(requests []*Request, partial bool, err error) {
+	c.processed++
+	if c.gone || c.closeAfterWrite {
 		return
 	}
-	c.queue = append(c.queue, got...)
-	c.fresh = c.fresh && len(got) == 0
-	if busy && !c.busy && !c.fresh && c.open == nil && !c.slow && len(got) == 0 { // from its first byte on, not from each
-		c.rest(readLimit)
+	c.queue = append(c.queue, requests...)
+	c.noRequestYet = c.noRequestYet && len(requests) == 0
+	// The timeout runs from the first byte of a request and is not set anew by each.
+	if partial && !c.partial && !c.noRequestYet && c.current == nil && !c.slowReader && len(requests) == 0 {
+		c.setTimeout(readTimeout)
 	}
-	c.busy = busy
+	c.partial = partial
 	if err != nil {
-		c.f.log.Info("bad request", zap.Error(err))
-		c.fault = err.(*BadRequest)
+		c.front.log.Info("bad request", zap.Error(err))
+		c.badRequest = err.(*BadRequest)
 	}
-	c.next()
-	if c.parts && err == nil && c.open == nil && !c.last {
-		c.stay()
+	c.startNext()
+	if c.closePending && err == nil && c.current == nil && !c.closeAfterWrite {
+		c.keepOpen()
 	}
 }
 
-// waits reports whether answers are owed to more than the open request.
-func (c *conn) waits() bool { return len(c.queue) > 0 || c.fault != nil }
+// hasPending reports whether there is something to answer besides the request in flight.
+func (c *conn) hasPending() bool { return len(c.queue) > 0 || c.badRequest != nil }
 
-// next begins the requests that wait, one at a time. What came behind them and can't be read is answered last.
-func (c *conn) next() {
+// startNext handles the queued requests, one at a time. Unreadable input behind them is answered last.
+func (c *conn) startNext() {
 	for c.free() && len(c.queue) > 0 {
 		r := c.queue[0]
 		c.queue = c.queue[1:]
-		c.begin(r)
+		c.handle(r)
 	}
-	if c.free() && c.fault != nil {
-		c.spill = true
-		c.respond(c.fault.Status, "", []byte(c.fault.Text+"\n"), true)
+	if c.free() && c.badRequest != nil {
+		c.linger = true
+		c.writeResponse(c.badRequest.Status, "", []byte(c.badRequest.Text+"\n"), true)
 	}
 }
 
-// free reports whether another answer may be begun: at most one is kept for a client.
-func (c *conn) free() bool { return c.open == nil && !c.gone && !c.last && !c.slow }
+// free reports whether another answer may be started: at most one waits for a client to read it.
+func (c *conn) free() bool { return c.current == nil && !c.gone && !c.closeAfterWrite && !c.slowReader }
 
-func (c *conn) begin(r *Request) {
+func (c *conn) handle(r *Request) {
 	if r.Method == "GET" && r.Path == "/check" {
-		if c.f.ready && !c.f.away {
+		if c.front.serving && !c.front.unready {
 			c.reply(200, "", []byte("ready\n"), r.Close)
 		} else {
-			c.reply(503, notReadyFields, nil, r.Close)
+			c.reply(503, notReadyHeader, nil, r.Close)
 		}
 		return
 	}
-	call, err := toCall(r, c.f.set)
+	call, err := toCall(r, c.front.site)
 	if err != nil {
 		b := err.(*BadRequest)
-		c.f.log.Info("bad call", zap.String("path", r.Path), zap.Error(err))
+		c.front.log.Info("bad call", zap.String("path", r.Path), zap.Error(err))
 		c.reply(b.Status, "", []byte(b.Text+"\n"), r.Close)
 		return
 	}
-	if !c.f.ready {
-		c.reply(503, notReadyFields, nil, r.Close)
+	if !c.front.serving {
+		c.reply(503, notReadyHeader, nil, r.Close)
 		return
 	}
-	if c.f.shut {
-		c.f.core.Count(call.Class, "refused")
-		c.reply(503, awayFields, nil, r.Close)
+	if c.front.refusing {
+		c.front.core.Count(call.Class, "refused")
+		c.reply(503, drainHeader, nil, r.Close)
 		return
 	}
-	x := &exchange{c: c, last: r.Close}
+	x := &exchange{conn: c, closeAfterWrite: r.Close}
 	call.Reply = x
-	c.open = x
-	c.f.loop.Cancel(c.timer)
-	if ref := c.f.core.Submit(call); c.open == x {
-		x.req = ref
+	c.current = x
+	c.front.loop.Cancel(c.timer)
+	if ref := c.front.core.Submit(call); c.current == x {
+		x.ref = ref
 	}
 }
 
-// reply answers a request. asked says that its client wants the connection closed.
-func (c *conn) reply(status int, fields string, body []byte, asked bool) {
-	closes := c.parts || c.f.closing || c.f.parting
-	c.respond(status, fields, body, asked || closes && !c.waits())
+// reply answers a request. clientCloses is whether its client asked for the connection to be closed.
+func (c *conn) reply(status int, fields string, body []byte, clientCloses bool) {
+	closing := c.closePending || c.front.shuttingDown || c.front.endingConns
+	c.writeResponse(status, fields, body, clientCloses || closing && !c.hasPending())
 	c.unanswered.Add(-1)
 	if !c.gone {
-		c.settle()
+		c.awaitRequest()
 	}
 }
--- a/internal/wire/httpfront/drain_test.go
+++ b/internal/wire/httpfront/drain_test.go
@@ -11,164 +11,165 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-const check = "GET /check HTTP/1.1\r\n\r\n"
+const checkRequest = "GET /check HTTP/1.1\r\n\r\n"
 
-// A drain says no at once, serves what still comes and ends its connection, closes what lies idle, and later turns
-// away; resume takes it all back at any moment.
+// A drain fails /check at once, serves calls that still arrive and closes their connections, closes idle connections, and later
+// refuses calls. Resume reverts all of this at any moment.
 func TestDrainAndResume(t *testing.T) {
-	w, f, k := newFront(t, 9)
-	idle, busy, late, half := dial(w, f), dial(w, f), dial(w, f), dial(w, f)
-	say(w, idle, check)
-	say(w, busy, post)
-	say(w, half, head)
-	f.Drain()
-	if got := say(w, late, check); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !late.Over {
-		t.Errorf("ready is answered %q, closed %v", got, late.Over)
-	}
-	late = dial(w, f)
-	if say(w, late, post); len(k.calls) != 2 {
-		t.Fatalf("%d calls taken while clients still come", len(k.calls))
-	}
-	k.calls[1].Reply.Served([]byte("x"))
-	if w.Run(); !strings.Contains(late.Take(), "Connection: close\r\n") || !late.Over {
-		t.Error("the answer does not end its connection")
-	}
-	if w.Pass(awayIdle); !idle.Over || busy.Over {
-		t.Errorf("closed after the pause: idle %v, with a call %v", idle.Over, busy.Over)
-	}
-	w.Pass(awayTake)
-	if got := half.Take(); !half.Over || !strings.HasPrefix(got, "HTTP/1.1 ") {
-		t.Errorf("half a request: %q, closed %v", got, half.Over)
-	}
-	late = dial(w, f)
-	if got := say(w, late, post); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "Srv-Wait-Ms: 1000\r\n") || len(k.calls) != 2 {
-		t.Errorf("a call that comes late is answered %q", got)
-	}
-	if len(k.count) != 1 || k.count[0] != "refused" {
-		t.Errorf("counted %q", k.count)
-	}
-	f.Resume()
-	late = dial(w, f)
-	if got := say(w, late, check); !strings.HasPrefix(got, "HTTP/1.1 200 ") || late.Over {
+	world, front, fake := newFront(t, 9)
+	idle, busy, late, half := dial(world, front), dial(world, front), dial(world, front), dial(world, front)
+	send(world, idle, checkRequest)
+	send(world, busy, callRequest)
+	send(world, half, requestHead)
+	front.Drain()
+	if got := send(world, late, checkRequest); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !late.Ended {
+		t.Errorf("/check is answered %q, closed %v", got, late.Ended)
+	}
+	late = dial(world, front)
+	if send(world, late, callRequest); len(fake.calls) != 2 {
+		t.Fatalf("%d calls taken during the accept period, want 2", len(fake.calls))
+	}
+	fake.calls[1].Reply.Served([]byte("x"))
+	if world.Run(); !strings.Contains(late.Take(), "Connection: close\r\n") || !late.Ended {
+		t.Error("the answer does not close its connection")
+	}
+	if world.Advance(drainIdleTimeout); !idle.Ended || busy.Ended {
+		t.Errorf("closed after the idle timeout: idle %v, with a call %v", idle.Ended, busy.Ended)
+	}
+	world.Advance(drainAcceptPeriod)
+	if got := half.Take(); !half.Ended || !strings.HasPrefix(got, "HTTP/1.1 ") {
+		t.Errorf("partial request: answer %q, closed %v", got, half.Ended)
+	}
+	late = dial(world, front)
+	if got := send(world, late, callRequest); !strings.HasPrefix(got, "HTTP/1.1 503 ") ||
+		!strings.Contains(got, "Srv-Wait-Ms: 1000\r\n") || len(fake.calls) != 2 {
+		t.Errorf("a call after the accept period is answered %q", got)
+	}
+	if len(fake.count) != 1 || fake.count[0] != "refused" {
+		t.Errorf("counted %q", fake.count)
+	}
+	front.Resume()
+	late = dial(world, front)
+	if got := send(world, late, checkRequest); !strings.HasPrefix(got, "HTTP/1.1 200 ") || late.Ended {
 		t.Errorf("after resume: %q", got)
 	}
-	k.calls[0].Reply.Served([]byte("y"))
-	if w.Run(); busy.Over || strings.Contains(busy.Take(), "close") {
-		t.Error("a call from before the drain, answered after it, ends its connection")
+	fake.calls[0].Reply.Served([]byte("y"))
+	if world.Run(); busy.Ended || strings.Contains(busy.Take(), "close") {
+		t.Error("a call from before the drain, answered after resume, closes its connection")
 	}
 }
 
-// Random clients, drains and resumes: each call has its one answer, a drained front says no and nothing of its
-// clients is held 4 s after, unless a call is open on it that came in the first two; once resumed it says yes.
+// Random clients, drains and resumes: each call has exactly one answer. A drained front fails /check, and 4 s after the drain it
+// holds no connection without a call in flight. After resume /check succeeds.
 func TestDrainUnderRandomSteps(t *testing.T) {
 	for seed := range uint64(80) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		w, f, k := newFront(t, 40)
+		world, front, fake := newFront(t, 40)
 		answered, drained := 0, time.Duration(0)
 		for n := range 150 {
 			switch rng.IntN(8) {
 			case 0, 1:
-				p := dial(w, f)
-				say(w, p, []string{"", head, strings.Replace(post, "9b1f", fmt.Sprintf("%04x", n), 1), check}[rng.IntN(4)])
+				peer := dial(world, front)
+				send(world, peer, []string{"", requestHead, strings.Replace(callRequest, "9b1f", fmt.Sprintf("%04x", n), 1), checkRequest}[rng.IntN(4)])
 			case 2, 3:
-				if open := len(k.calls) - answered; open > 0 {
-					k.calls[answered].Reply.Served([]byte("x"))
+				if open := len(fake.calls) - answered; open > 0 {
+					fake.calls[answered].Reply.Served([]byte("x"))
 					answered++
-					w.Run()
+					world.Run()
 				}
 			case 4:
 				if drained == 0 {
-					drained = w.Now()
+					drained = world.Now()
 				}
-				f.Drain()
+				front.Drain()
 			case 5:
-				f.Resume()
+				front.Resume()
 				drained = 0
 			default:
-				w.Pass(time.Duration(rng.IntN(1200)) * time.Millisecond)
+				world.Advance(time.Duration(rng.IntN(1200)) * time.Millisecond)
 			}
-			if f.Ready() != (drained == 0) {
-				t.Fatalf("seed %d: ready %v, drained %v", seed, f.Ready(), drained)
+			if front.Ready() != (drained == 0) {
+				t.Fatalf("seed %d: ready %v, drained %v", seed, front.Ready(), drained)
 			}
 		}
-		calls := len(k.calls)
-		f.Drain()
-		w.Pass(4 * time.Second)
-		if f.Conns() != calls-answered-len(k.gone) {
-			t.Fatalf("seed %d: %d connections held, %d calls open", seed, f.Conns(), calls-answered-len(k.gone))
+		calls := len(fake.calls)
+		front.Drain()
+		world.Advance(4 * time.Second)
+		if front.Conns() != calls-answered-len(fake.gone) {
+			t.Fatalf("seed %d: %d connections held, %d calls open", seed, front.Conns(), calls-answered-len(fake.gone))
 		}
-		for _, c := range k.calls[answered:] {
+		for _, c := range fake.calls[answered:] {
 			c.Reply.Served([]byte("x"))
 		}
-		if w.Run(); f.Conns() != 0 || f.Held() != 0 {
-			t.Fatalf("seed %d: %d connections after the last answer", seed, f.Conns())
+		if world.Run(); front.Conns() != 0 || front.Unsent() != 0 {
+			t.Fatalf("seed %d: %d connections after the last answer", seed, front.Conns())
 		}
-		f.Resume()
-		if got := say(w, dial(w, f), check); !strings.HasPrefix(got, "HTTP/1.1 200 ") {
+		front.Resume()
+		if got := send(world, dial(world, front), checkRequest); !strings.HasPrefix(got, "HTTP/1.1 200 ") {
 			t.Fatalf("seed %d: after resume %q", seed, got)
 		}
 	}
 }
 
-// slowly opens a connection whose client makes no room for answers.
-func slowly(w *wiretest.World, f *Front) (*wiretest.Peer, *wiretest.Conn) {
-	p := &wiretest.Peer{}
-	var far *wiretest.Conn
-	p.Conn, far = w.Pair(p, func(c *wiretest.Conn) sock.Handler { return f.Accept(c) })
-	w.Run()
-	return p, far
+// dialSlowReader opens a connection whose client can be made to leave answers unread, by its server end's UnsentBytes.
+func dialSlowReader(world *wiretest.World, front *Front) (*wiretest.Peer, *wiretest.Conn) {
+	peer := &wiretest.Peer{}
+	var serverEnd *wiretest.Conn
+	peer.Conn, serverEnd = world.Pair(peer, func(c *wiretest.Conn) sock.Handler { return front.Accept(c) })
+	world.Run()
+	return peer, serverEnd
 }
 
-// A long answer that a client reads slowly must not be cut by the close that follows it, or by its next request; what
-// is kept for all such clients is bounded.
+// A long answer that a client reads slowly must not be truncated by the close that follows it, nor by its next request. The
+// bytes that wait for all such clients are limited.
 func TestSlowReaders(t *testing.T) {
-	w, f, k := newFront(t, 9)
-	p, far := slowly(w, f)
-	say(w, p, strings.Replace(post, "Host:", "Connection: close\r\nHost:", 1))
-	far.Slow = 200_000
-	k.calls[0].Reply.Served(make([]byte, 230_000))
-	if w.Pass(3 * time.Second); p.Over || f.Held() != 200_000 {
-		t.Fatalf("closed %v with the answer unread, %d held", p.Over, f.Held())
-	}
-	f.Closing() // a process that ends waits as well
-	if w.Run(); p.Over {
-		t.Error("closed by the end of the process with the answer unread")
-	}
-	far.Flush()
-	if w.Run(); !p.Over || f.Held() != 0 {
-		t.Errorf("closed %v after the last byte, %d held", p.Over, f.Held())
+	world, front, fake := newFront(t, 9)
+	peer, serverEnd := dialSlowReader(world, front)
+	send(world, peer, strings.Replace(callRequest, "Host:", "Connection: close\r\nHost:", 1))
+	serverEnd.UnsentBytes = 200_000
+	fake.calls[0].Reply.Served(make([]byte, 230_000))
+	if world.Advance(3 * time.Second); peer.Ended || front.Unsent() != 200_000 {
+		t.Fatalf("closed %v with the answer unread, %d bytes unsent", peer.Ended, front.Unsent())
+	}
+	front.Shutdown() // shutting down waits for the reader as well
+	if world.Run(); peer.Ended {
+		t.Error("closed by Shutdown with the answer unread")
+	}
+	serverEnd.Flush()
+	if world.Run(); !peer.Ended || front.Unsent() != 0 {
+		t.Errorf("closed %v after the last byte, %d bytes unsent", peer.Ended, front.Unsent())
 	}
 
-	w, f, k = newFront(t, 9)
-	p, far = slowly(w, f)
-	far.Slow = 1000
-	say(w, p, post)
-	k.calls[0].Reply.Served(make([]byte, 2000))
-	w.Run()
-	say(w, p, strings.Replace(post, "9b1f", "0000", 1))
-	if len(k.calls) != 1 {
-		t.Error("a second answer is begun for a client that has not taken the first")
-	}
-	far.Flush()
-	if w.Run(); len(k.calls) != 2 || p.Over {
-		t.Errorf("%d calls after the client has caught up, closed %v", len(k.calls), p.Over)
+	world, front, fake = newFront(t, 9)
+	peer, serverEnd = dialSlowReader(world, front)
+	serverEnd.UnsentBytes = 1000
+	send(world, peer, callRequest)
+	fake.calls[0].Reply.Served(make([]byte, 2000))
+	world.Run()
+	send(world, peer, strings.Replace(callRequest, "9b1f", "0000", 1))
+	if len(fake.calls) != 1 {
+		t.Error("a second answer is started for a client that has not read the first")
+	}
+	serverEnd.Flush()
+	if world.Run(); len(fake.calls) != 2 || peer.Ended {
+		t.Errorf("%d calls after the client has read its answer, closed %v", len(fake.calls), peer.Ended)
 	}
 
-	w, f, k = newFront(t, 9)
+	world, front, fake = newFront(t, 9)
 	var all []*wiretest.Peer
 	for i := range 6 {
-		p, far := slowly(w, f)
-		far.Slow = 250_000
-		say(w, p, strings.Replace(post, "9b1f", fmt.Sprintf("%04x", i), 1))
-		k.calls[i].Reply.Served(make([]byte, 230_000))
-		w.Pass(time.Millisecond)
-		all = append(all, p)
-	}
-	if f.Held() > 1<<20 || !all[0].Over || all[5].Over {
-		t.Errorf("%d bytes held, first cut off %v, last %v", f.Held(), all[0].Over, all[5].Over)
-	}
-	w.Pass(slowLimit)
-	if f.Held() != 0 || f.Conns() != 0 {
-		t.Errorf("%d bytes held for clients that never read, %d connections", f.Held(), f.Conns())
+		peer, serverEnd := dialSlowReader(world, front)
+		serverEnd.UnsentBytes = 250_000
+		send(world, peer, strings.Replace(callRequest, "9b1f", fmt.Sprintf("%04x", i), 1))
+		fake.calls[i].Reply.Served(make([]byte, 230_000))
+		world.Advance(time.Millisecond)
+		all = append(all, peer)
+	}
+	if front.Unsent() > 1<<20 || !all[0].Ended || all[5].Ended {
+		t.Errorf("%d bytes unsent, first client closed %v, last %v", front.Unsent(), all[0].Ended, all[5].Ended)
+	}
+	world.Advance(writeTimeout)
+	if front.Unsent() != 0 || front.Conns() != 0 {
+		t.Errorf("%d bytes unsent for clients that never read, %d connections", front.Unsent(), front.Conns())
 	}
 }
--- a/internal/wire/httpfront/front.go
+++ b/internal/wire/httpfront/front.go
@@ -13,211 +13,213 @@
 )
 
 const (
-	idleLimit   = 30 * time.Second        // a connection with no open request
-	readLimit   = 2500 * time.Millisecond // for a connection's first request, and for the rest of one that has begun
-	slowLimit   = 15 * time.Second        // for the client to take an answer
-	lingerLimit = 500 * time.Millisecond  // and
-	lingerBytes = 4 << 20                 // for what still comes on a connection whose last answer has been given
-	pipelined   = 4                       // requests that may wait on one connection behind the open one
-
-	awayIdle  = 500 * time.Millisecond  // sent away, a client's connection may do nothing for so long,
-	awayTake  = 1800 * time.Millisecond // and calls are taken for so long after the drain has begun
-	awayPause = time.Second             // then clients are told to come back after this
-
-	relieveEvery = 10 * time.Millisecond  // pace at which room is made while no more connections can be accepted, of
-	relieveMost  = 8                      // so many at once; then
-	halfLimit    = 250 * time.Millisecond // half a request may stay so long
-	youngLimit   = 100 * time.Millisecond // and what has said nothing yet so long, also while there are places
-	slowTurn     = 2 * time.Second        // and the client that reads slowest for so long
+	idleTimeout    = 30 * time.Second        // for a connection without a request in flight
+	readTimeout    = 2500 * time.Millisecond // for the first request of a connection, and for the rest of a request that has begun
+	writeTimeout   = 15 * time.Second        // for the client to read an answer
+	lingerTimeout  = 500 * time.Millisecond  // how long input after the last answer is read and discarded before the close
+	maxLingerBytes = 4 << 20                 // bytes of such input at most
+	maxPipelined   = 4                       // requests that may queue on a connection behind the one in flight
+
+	drainIdleTimeout  = 500 * time.Millisecond  // while draining or handing over, for connections without a request in flight
+	drainAcceptPeriod = 1800 * time.Millisecond // after the start of a drain; calls that still arrive within it are taken
+	drainRetryAfter   = time.Second             // wait that clients are told (Srv-Wait-Ms) when refused while draining
+
+	makeRoomInterval     = 10 * time.Millisecond  // while all connection slots are taken, how often idle connections are closed,
+	makeRoomBatch        = 8                      // and how many at a time
+	partialRequestMinAge = 250 * time.Millisecond // a partial request may be refused to make room after this time
+	newConnMinAge        = 100 * time.Millisecond // a new connection without a request may be closed to make room after this time
+	slowReaderMinAge     = 2 * time.Second        // the slowest reader is disconnected to make room after this time
 )
 
-const notReadyFields = "Srv-Wait-Ms: 100\r\n"
+const notReadyHeader = "Srv-Wait-Ms: 100\r\n"
 
-var errSpilt = errors.New("more input than is worth discarding")
+var errTooMuchInput = errors.New("more input after the last answer than is discarded")
 
-// Taker is the part of the core that a front needs.
-type Taker interface {
+// Core is the part of the gateway's core that a front needs.
+type Core interface {
 	Submit(core.Call) core.Ref
 	ClientGone(core.Ref)
-	Count(class int, answer string) // of a call that the front has answered
+	Count(class int, answer string) // counts a call that the front has answered by itself
 }
 
-// Front answers HTTP clients. Its connections are a table of slots, touched on the turn alone.
+// Front answers HTTP clients. All its fields and connections are used on the event loop only.
 type Front struct {
-	loop    *core.Loop
-	core    Taker
-	set     *settings.Site
-	log     *zap.Logger
-	conns   *core.Table[*conn]
-	mayHold int // bytes kept for clients that read slowly, all together,
-	held    int // and as many are
-	limit   int // connections that find a place
-	soft    int // of them, from which on a new one takes the place of one that does nothing
-	ready   bool
-	closing bool
-	away    bool           // drained: /check says no
-	parting bool           // connections are ended with their next answer, or where nothing happens
-	shut    bool           // and no call of theirs is taken any more
-	turn    *core.Deadline // of the drain's next step
-	relief  *core.Deadline // set while all places are taken
+	loop          *core.Loop
+	core          Core
+	site          *settings.Site
+	log           *zap.Logger
+	conns         *core.Table[*conn]
+	maxUnsent     int            // limit of the bytes that wait for clients that read slowly, over all connections
+	unsent        int            // bytes that wait for such clients
+	maxConns      int            // size of the connection table
+	softMaxConns  int            // from this many connections on, a new one closes one that is idle
+	serving       bool           // Serve has been called
+	shuttingDown  bool           // the process ends: connections are closed after the request in flight
+	unready       bool           // /check answers 503
+	endingConns   bool           // connections are closed after their next answer, or when idle
+	refusing      bool           // the drain's accept period is over: calls are refused
+	drainTimer    *core.Deadline // next step of the drain or hand-over
+	makeRoomTimer *core.Deadline // set while all connection slots are taken
 }
 
-// New returns a front that holds at most limit connections, and from two thirds of it on as few idle ones as it can:
-// clients that hold theirs for good must not use up what the platform lets clients connect.
-// mayHold bounds the bytes that are kept for clients that read slowly, all together.
-func New(loop *core.Loop, set *settings.Site, limit, mayHold int, log *zap.Logger) *Front {
-	return &Front{loop: loop, set: set, log: log, conns: core.NewTable[*conn](limit), limit: limit, soft: max(1, limit*2/3),
-		mayHold: mayHold}
+// New returns a front that holds at most maxConns connections. Above two thirds of them, each new connection closes an idle
+// one: clients that never close their connections must not use up the number that the platform allows.
+// maxUnsent limits the bytes that wait for clients that read slowly, over all connections.
+func New(loop *core.Loop, site *settings.Site, maxConns, maxUnsent int, log *zap.Logger) *Front {
+	return &Front{loop: loop, site: site, log: log, conns: core.NewTable[*conn](maxConns), maxConns: maxConns,
+		softMaxConns: max(1, maxConns*2/3), maxUnsent: maxUnsent}
 }
 
-// Serve makes the front answer: /check is 200 from now on.
-func (f *Front) Serve(c Taker) { f.core, f.ready = c, true }
+// Serve starts to pass calls to c. From now on /check answers 200.
+func (f *Front) Serve(c Core) { f.core, f.serving = c, true }
 
-// Conns is the number of connections that are open.
+// Conns is the number of open connections.
 func (f *Front) Conns() int { return f.conns.Len() }
 
-// Ready reports whether clients are told to come.
-func (f *Front) Ready() bool { return f.ready && !f.away && !f.closing }
+// Ready reports whether clients should send further calls: the front serves, and is neither draining nor shutting down.
+func (f *Front) Ready() bool { return f.serving && !f.unready && !f.shuttingDown }
 
-// Drain sends clients away: /check answers no, answers end their connection, and connections on which nothing
-// happens are closed once the platform has stopped sending new ones. Until awayTake calls that still come are taken.
+// Drain makes clients go elsewhere: /check answers 503 and every answer closes its connection. Idle connections are closed
+// after drainIdleTimeout, when the platform has stopped sending new ones. Calls are taken until drainAcceptPeriod is over.
 func (f *Front) Drain() {
-	if f.away {
+	if f.unready {
 		return
 	}
-	f.away, f.parting = true, true
-	f.turn = f.loop.After(awayIdle, func() {
-		f.dropIdle()
-		f.turn = f.loop.After(awayTake-awayIdle, func() {
-			f.shut = true
-			f.dropIdle()
+	f.unready, f.endingConns = true, true
+	f.drainTimer = f.loop.After(drainIdleTimeout, func() {
+		f.closeIdle()
+		f.drainTimer = f.loop.After(drainAcceptPeriod-drainIdleTimeout, func() {
+			f.refusing = true
+			f.closeIdle()
 		})
 	})
 }
 
-// Unready has /check answer no from now on; calls are taken as ever.
-func (f *Front) Unready() { f.away = true }
+// Unready makes /check answer 503 from now on. Calls are taken as before.
+func (f *Front) Unready() { f.unready = true }
 
-// Leave ends the clients' connections without sending them away: another process of the gateway has the next ones.
-func (f *Front) Leave() {
-	f.loop.Cancel(f.turn)
-	f.parting = true
-	f.turn = f.loop.After(awayIdle, f.dropIdle)
+// HandOver closes the connections of clients after their next answer or when idle. It does not change the answer to /check,
+// since another process of the gateway accepts the next connections.
+func (f *Front) HandOver() {
+	f.loop.Cancel(f.drainTimer)
+	f.endingConns = true
+	f.drainTimer = f.loop.After(drainIdleTimeout, f.closeIdle)
 }
 
-// Resume takes clients again, from wherever the drain has got to.
+// Resume ends a drain or hand-over, whichever step it has reached.
 func (f *Front) Resume() {
-	f.loop.Cancel(f.turn)
-	f.away, f.parting, f.shut = false, false, false
+	f.loop.Cancel(f.drainTimer)
+	f.unready, f.endingConns, f.refusing = false, false, false
 }
 
-// dropIdle closes what has no request open. Half a request gets an answer once no more are taken.
-func (f *Front) dropIdle() {
+// closeIdle closes connections without a request in flight. A partial request is answered with 503 once calls are refused.
+func (f *Front) closeIdle() {
 	f.conns.Each(func(_ core.Ref, c *conn) {
 		switch {
-		case c.open != nil || c.last || c.slow || c.waits():
-		case !c.busy:
-			c.part(frontLeaves)
-		case f.shut:
-			c.spill = true
-			c.respond(503, awayFields, nil, true)
+		case c.current != nil || c.closeAfterWrite || c.slowReader || c.hasPending():
+		case !c.partial:
+			c.closeIfIdle(frontClosing)
+		case f.refusing:
+			c.linger = true
+			c.writeResponse(503, drainHeader, nil, true)
 		}
 	})
 }
 
-var awayFields = fmt.Sprintf("Srv-Wait-Ms: %d\r\n", awayPause.Milliseconds())
+var drainHeader = fmt.Sprintf("Srv-Wait-Ms: %d\r\n", drainRetryAfter.Milliseconds())
 
-// Closing has every connection closed once its open request is answered.
-func (f *Front) Closing() {
-	f.closing = true
+// Shutdown closes every connection after its request in flight is answered.
+func (f *Front) Shutdown() {
+	f.shuttingDown = true
 	f.conns.Each(func(_ core.Ref, c *conn) {
-		if c.open != nil {
+		if c.current != nil {
 			return
 		}
-		if c.waits() { // behind an answer that its client has not taken
+		if c.hasPending() { // these come after an answer that the client has not read yet
 			return
 		}
-		switch c.last = c.last || c.slow || len(c.out) > 0; {
-		case c.last: // an answer still has to go out
-		case c.busy: // the rest of its request comes too late
-			c.spill = true
-			c.respond(503, awayFields, nil, true)
+		switch c.closeAfterWrite = c.closeAfterWrite || c.slowReader || len(c.out) > 0; {
+		case c.closeAfterWrite: // an answer is still to be written
+		case c.partial: // the rest of its request comes too late
+			c.linger = true
+			c.writeResponse(503, drainHeader, nil, true)
 		default:
-			c.part(frontLeaves)
+			c.closeIfIdle(frontClosing)
 		}
 	})
 }
 
-// Held is how many bytes of answers wait for clients that read slowly, as of when each answer was given.
-func (f *Front) Held() int { return f.held }
+// Unsent is the number of bytes that wait for clients that read slowly, counted per client when its last answer was written.
+func (f *Front) Unsent() int { return f.unsent }
 
-// Accept takes a new connection; called on an I/O goroutine.
+// Accept takes a new connection. It is called on an I/O goroutine.
 func (f *Front) Accept(s sock.Conn) sock.Handler {
-	c := &conn{f: f, sock: s, fresh: true}
+	c := &conn{front: f, sock: s, noRequestYet: true}
 	f.loop.Post(c.opened)
 	return c
 }
 
-// makeRoom closes the oldest of the connections that have asked nothing yet, or the one that is idle longest,
-// whichever are more: neither a crowd of silent clients pushes out the usual ones, nor the other way round. A request that
-// crosses the close is answered. Where all places are taken, half a request is turned away with an answer.
+// makeRoom closes a connection without a request in flight. Connections that have not sent a request yet and those that have
+// are counted, and the oldest of the larger group is closed, so that neither many silent clients displace the regular ones nor the
+// other way round. If a request arrives while the connection closes, it is answered. If full is set, a connection with a partial
+// request can be chosen as well: it is answered with 503.
 func (f *Front) makeRoom(full bool) {
 	var oldest [2]*conn
-	var count [2]int
+	var sizes [2]int
 	f.conns.Each(func(_ core.Ref, o *conn) {
-		age := f.loop.Now() - o.restedAt
-		if !o.free() || o.parts || len(o.out) > 0 || o.busy && !(full && age >= halfLimit) {
+		age := f.loop.Now() - o.timerSetAt
+		if !o.free() || o.closePending || len(o.out) > 0 || o.partial && !(full && age >= partialRequestMinAge) {
 			return
 		}
-		kind := 0
-		if o.fresh {
-			kind = 1
+		group := 0
+		if o.noRequestYet {
+			group = 1
 		}
-		count[kind]++
-		young := o.fresh && age < youngLimit
-		if !young && (oldest[kind] == nil || o.timer.Before(oldest[kind].timer)) {
-			oldest[kind] = o
+		sizes[group]++
+		young := o.noRequestYet && age < newConnMinAge
+		if !young && (oldest[group] == nil || o.timer.Before(oldest[group].timer)) {
+			oldest[group] = o
 		}
 	})
-	victim := oldest[0]
-	if count[1] > count[0] {
-		victim = oldest[1]
+	chosen := oldest[0]
+	if sizes[1] > sizes[0] {
+		chosen = oldest[1]
 	}
 	switch {
-	case victim == nil:
-	case victim.busy:
-		victim.spill = true
-		victim.respond(503, awayFields, nil, true)
+	case chosen == nil:
+	case chosen.partial:
+		chosen.linger = true
+		chosen.writeResponse(503, drainHeader, nil, true)
 	default:
-		victim.part(madeRoom)
+		chosen.closeIfIdle(madeRoom)
 	}
 }
 
-// relieve makes room while all places are taken: further connections wait to be accepted until one here is free.
-func (f *Front) relieve() {
-	if f.conns.Len() < f.limit || f.relief != nil {
+// scheduleMakeRoom makes room while all connection slots are taken. Further connections are not accepted until a slot is free.
+func (f *Front) scheduleMakeRoom() {
+	if f.conns.Len() < f.maxConns || f.makeRoomTimer != nil {
 		return
 	}
-	f.relief = f.loop.After(relieveEvery, func() {
-		f.relief = nil
-		if f.conns.Len() < f.limit {
+	f.makeRoomTimer = f.loop.After(makeRoomInterval, func() {
+		f.makeRoomTimer = nil
+		if f.conns.Len() < f.maxConns {
 			return
 		}
-		for range relieveMost {
+		for range makeRoomBatch {
 			f.makeRoom(true)
 		}
-		if slow := f.slowest(nil); slow != nil && f.loop.Now()-slow.restedAt >= slowTurn {
+		if slow := f.slowestReader(nil); slow != nil && f.loop.Now()-slow.timerSetAt >= slowReaderMinAge {
 			f.log.Warn("a client that reads slowly was cut off, since others wait for its place")
-			slow.drop(readsSlowly)
+			slow.closeNow(readTooSlowly)
 		}
-		f.relieve()
+		f.scheduleMakeRoom()
 	})
 }
 
-// idle is how long a connection on which nothing happens is kept.
-func (f *Front) idle(usual time.Duration) time.Duration {
-	if f.parting {
-		return awayIdle
+// idleTime is how long a connection may be idle: usual, or less while connections are ended.
+func (f *Front) idleTime(usual time.Duration) time.Duration {
+	if f.endingConns {
+		return drainIdleTimeout
 	}
 	return usual
 }
--- a/internal/wire/httpfront/model_test.go
+++ b/internal/wire/httpfront/model_test.go
@@ -11,75 +11,75 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// client is the model of one client's connection. Each request that was sent whole has one answer, in order, unless the client
-// has left or was cut off for not reading; what is no request has the last.
-type client struct {
+// clientModel is the model of one client's connection. Each whole request gets one answer, in order, unless the client has closed
+// the connection or it was closed because the client did not read. Unreadable input is answered last.
+type clientModel struct {
 	*wiretest.Peer
-	far    *wiretest.Conn
-	sent   []string // ids of the requests sent whole
-	got    string   // all that has come
-	half   bool     // part of a request was sent
-	broken bool     // what is no request was sent
-	left   bool     // the client has closed the connection
-	cut    bool     // it was closed while the client did not read
-	turned bool     // it found no place, which no listener lets happen, and is turned away unasked
+	serverEnd    *wiretest.Conn // the front's end of the connection
+	sent         []string       // ids of the requests sent whole
+	received     string         // all input so far
+	partial      bool           // part of a request was sent
+	garbage      bool           // unreadable input was sent
+	left         bool           // the client has closed the connection
+	closedUnread bool           // the connection was closed while the client did not read
+	rejected     bool           // the connection exceeds the limit, which a listener prevents, and is refused before any request
 }
 
 // silent reports whether the client sends no more requests.
-func (c *client) silent() bool {
-	return c.Over || c.half || c.broken || c.left || strings.Contains(c.got, "Connection: close")
+func (c *clientModel) silent() bool {
+	return c.Ended || c.partial || c.garbage || c.left || strings.Contains(c.received, "Connection: close")
 }
 
-// answers are the answers that have come.
-func (c *client) answers() []string { return strings.Split(c.got, "HTTP/1.1 ")[1:] }
+// answers are the answers received so far.
+func (c *clientModel) answers() []string { return strings.Split(c.received, "HTTP/1.1 ")[1:] }
 
-// clients are a front with its clients and the calls that it has taken.
-type clients struct {
+// frontModel is a front with its clients and the calls that it has taken.
+type frontModel struct {
 	*wiretest.World
 	front    *Front
-	taker    *taker
-	list     []*client
-	ids      int
-	answered map[int]bool // calls of the taker
+	core     *fakeCore
+	clients  []*clientModel
+	requests int          // sent so far; the next one is the number in its id
+	answered map[int]bool // calls of core, by index
 }
 
-func (m *clients) connect() {
-	c := &client{Peer: &wiretest.Peer{}, turned: m.front.Conns() >= 6}
+func (m *frontModel) connect() {
+	c := &clientModel{Peer: &wiretest.Peer{}, rejected: m.front.Conns() >= 6}
 	c.Conn, _ = m.Pair(c.Peer, func(far *wiretest.Conn) sock.Handler {
-		c.far = far
+		c.serverEnd = far
 		return m.front.Accept(far)
 	})
-	m.list = append(m.list, c)
+	m.clients = append(m.clients, c)
 	m.run()
 }
 
-// call has a whole request under way, in pieces of the given size. A client sends no more at once than are kept.
-func (m *clients) call(c *client, piece int) {
-	if c.silent() || len(c.sent)-len(c.answers()) > pipelined {
+// call starts to send a whole request, in pieces of the given size (0 for all at once). A client pipelines no more than the limit.
+func (m *frontModel) call(c *clientModel, piece int) {
+	if c.silent() || len(c.sent)-len(c.answers()) > maxPipelined {
 		return
 	}
-	id := fmt.Sprintf("%04xaa5c7e2d41ff", m.ids)
-	m.ids++
+	id := fmt.Sprintf("%04xaa5c7e2d41ff", m.requests)
+	m.requests++
 	c.sent = append(c.sent, id)
-	m.Chunk = piece
-	c.Write([]byte(strings.Replace(post, "9b1f03aa5c7e2d41", id, 1)))
-	m.Chunk = 0
+	m.MaxChunk = piece
+	c.Write([]byte(strings.Replace(callRequest, "9b1f03aa5c7e2d41", id, 1)))
+	m.MaxChunk = 0
 }
 
-// run lets everything happen.
-func (m *clients) run() {
+// run delivers everything that is in transit.
+func (m *frontModel) run() {
 	m.T.Helper()
 	m.Run()
-	for _, c := range m.list {
-		c.cut = c.cut || c.Over && c.far.Slow > 0
-		c.got += c.Take()
+	for _, c := range m.clients {
+		c.closedUnread = c.closedUnread || c.Ended && c.serverEnd.UnsentBytes > 0
+		c.received += c.Take()
 	}
 }
 
-// answer serves an open call with its id. A second answer must be dropped.
-func (m *clients) answer(which int) {
+// answer serves an unanswered call with its id. A second answer must be dropped.
+func (m *frontModel) answer(which int) {
 	var open []int
-	for i := range m.taker.calls {
+	for i := range m.core.calls {
 		if !m.answered[i] && !m.gone(i) {
 			open = append(open, i)
 		}
@@ -89,14 +89,14 @@
 	}
 	i := open[which%len(open)]
 	m.answered[i] = true
-	m.taker.calls[i].Reply.Served([]byte(m.taker.calls[i].ID))
-	m.taker.calls[i].Reply.Failed(core.GivenUp)
+	m.core.calls[i].Reply.Served([]byte(m.core.calls[i].ID))
+	m.core.calls[i].Reply.Failed(core.GivenUp)
 	m.run()
 }
 
-// gone reports whether the core has been told that nobody waits for a call.
-func (m *clients) gone(call int) bool {
-	for _, ref := range m.taker.gone {
+// gone reports whether the core has been notified that the client of a call has left.
+func (m *frontModel) gone(call int) bool {
+	for _, ref := range m.core.gone {
 		if ref == core.Ref(call+1) {
 			return true
 		}
@@ -104,12 +104,12 @@
 	return false
 }
 
-func (m *clients) check() {
+func (m *frontModel) check() {
 	m.T.Helper()
 	if n := m.front.Conns(); n > 6 {
 		m.T.Fatalf("%d connections", n)
 	}
-	for _, c := range m.list {
+	for _, c := range m.clients {
 		answers := c.answers()
 		for i, a := range answers {
 			served := strings.HasPrefix(a, "200 ")
@@ -120,40 +120,40 @@
 				m.T.Fatalf("a good request was answered %q", a)
 			}
 		}
-		if c.left || c.cut || !c.Over {
+		if c.left || c.closedUnread || !c.Ended {
 			continue
 		}
-		owed := len(c.sent)
-		if c.half || c.broken && (len(answers) > owed || !strings.Contains(c.got, "Connection: close")) {
-			owed++ // what is no request has no answer of its own behind one that ends the connection
+		expected := len(c.sent)
+		if c.partial || c.garbage && (len(answers) > expected || !strings.Contains(c.received, "Connection: close")) {
+			expected++ // unreadable input has no answer of its own behind an answer that ends the connection
 		}
-		if c.turned && len(c.sent) == 0 {
-			owed = 1
+		if c.rejected && len(c.sent) == 0 {
+			expected = 1
 		}
-		if len(answers) != owed {
-			m.T.Fatalf("closed after %d answers, %d owed: %q", len(answers), owed, c.got)
+		if len(answers) != expected {
+			m.T.Fatalf("closed after %d answers, %d expected: %q", len(answers), expected, c.received)
 		}
 	}
 }
 
-// FuzzConn plays clients that send calls whole, in pieces and several at once, stop in the middle, send what is no request, read
-// slowly, leave and come back; a core that answers or does not; drains, their end, connections closed as idle with a request
-// under way; and time.
+// FuzzConn simulates clients that send calls whole, in pieces and several at once, stop in the middle, send unreadable input, read
+// slowly, leave and connect again. Steps of the front are answers of the core, drain, resume, hand-over, closing of idle connections
+// with a request in transit, and the passing of time.
 func FuzzConn(f *testing.F) {
 	f.Add([]byte{0, 2, 0, 3, 1, 2, 4, 0, 5, 0, 2})
 	f.Add([]byte{1, 13, 1, 2, 14, 6, 0, 4, 7, 0, 0, 8, 0, 0, 0})
 	f.Add([]byte{0, 20, 9, 2, 0, 2, 5, 7, 7, 10, 2, 11, 2, 3})
 	f.Add([]byte{0, 0, 12, 7, 2, 2, 2, 8, 0, 12, 7, 5, 2, 2})
 	f.Add([]byte{12, 10, 0, 10, 2, 11, 0, 0, 2, 8, 11, 2, 5, 17, 29})
-	f.Add([]byte("c9Z8 90"))    // an answer and the end of its time in one sweep
-	f.Add([]byte("XYX7Y9\xfc")) // a request begun behind an answer that is read slowly
+	f.Add([]byte("c9Z8 90"))    // an answer and its client's timeout in one loop iteration
+	f.Add([]byte("XYX7Y9\xfc")) // a request started behind an answer that is read slowly
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		w, front, k := newFront(t, 6)
-		m := &clients{World: w, front: front, taker: k, answered: map[int]bool{}}
+		world, front, fake := newFront(t, 6)
+		m := &frontModel{World: world, front: front, core: fake, answered: map[int]bool{}}
 		m.connect()
 		m.connect()
 		for _, step := range steps[:min(len(steps), 60)] {
-			c := m.list[len(m.list)-1-int(step/13)%2]
+			c := m.clients[len(m.clients)-1-int(step/13)%2]
 			switch step % 13 {
 			case 0:
 				m.call(c, 0)
@@ -163,76 +163,76 @@
 				m.run()
 			case 2, 3:
 				m.answer(int(step / 13))
-			case 4: // leaves by a close
+			case 4: // the client closes its connection
 				c.Close()
 				c.left = true
 				m.run()
 				m.connect()
 			case 5:
-				m.Pass(time.Duration(step) * 50 * time.Millisecond)
+				m.Advance(time.Duration(step) * 50 * time.Millisecond)
 				m.run()
 			case 6:
 				if !c.silent() && len(c.sent) == len(c.answers()) {
-					c.Write([]byte(head[:1+int(step)%(len(head)-1)]))
-					c.half = true
+					c.Write([]byte(requestHead[:1+int(step)%(len(requestHead)-1)]))
+					c.partial = true
 					m.run()
 				}
-			case 7: // no request at all, behind one that is not delivered yet
+			case 7: // unreadable input behind a request that is not delivered yet
 				if m.call(c, 0); !c.silent() {
 					c.Write([]byte("\x00\x01\r\n\r\n"))
-					c.broken = true
+					c.garbage = true
 				}
 				m.run()
 			case 8:
 				front.Drain()
 			case 9:
 				front.Resume()
-			case 10: // closed as idle, with a request under way
+			case 10: // idle connections are closed with a request in transit
 				m.call(c, 0)
 				front.conns.Each(func(_ core.Ref, o *conn) {
-					if o.free() && !o.busy && len(o.out) == 0 {
-						o.part(madeRoom)
+					if o.free() && !o.partial && len(o.out) == 0 {
+						o.closeIfIdle(madeRoom)
 					}
 				})
 				m.run()
 			case 11:
-				c.far.Slow = 10 - c.far.Slow
-				if c.far.Slow == 0 {
-					c.far.Flush()
+				c.serverEnd.UnsentBytes = 10 - c.serverEnd.UnsentBytes
+				if c.serverEnd.UnsentBytes == 0 {
+					c.serverEnd.Flush()
 					m.run()
 				}
 			case 12:
-				front.Leave()
+				front.HandOver()
 			}
 			m.check()
 		}
-		for _, c := range m.list {
-			c.far.Slow = 0
-			c.far.Flush()
+		for _, c := range m.clients {
+			c.serverEnd.UnsentBytes = 0
+			c.serverEnd.Flush()
 			m.run()
 		}
-		for range m.ids {
+		for range m.requests {
 			m.answer(0)
 		}
 		m.check()
-		for _, c := range m.list {
-			if len(c.answers()) < len(c.sent) && !c.left && !c.cut {
+		for _, c := range m.clients {
+			if len(c.answers()) < len(c.sent) && !c.left && !c.closedUnread {
 				t.Errorf("%d answers to %d requests", len(c.answers()), len(c.sent))
 			}
-			if !c.Over {
+			if !c.Ended {
 				c.left = true
 				c.Close()
 				m.run()
 			}
 		}
-		for i := range k.calls {
+		for i := range fake.calls {
 			if m.gone(i) == m.answered[i] {
 				t.Errorf("call %d: answered %v, client has left %v", i, m.answered[i], m.gone(i))
 			}
 		}
-		m.Pass(slowLimit)
-		if front.Conns() != 0 || front.Held() != 0 || m.Loop.Len() > 0 {
-			t.Errorf("left behind: %d connections, %d bytes, %d deadlines", front.Conns(), front.Held(), m.Loop.Len())
+		m.Advance(writeTimeout)
+		if front.Conns() != 0 || front.Unsent() != 0 || m.Loop.Len() > 0 {
+			t.Errorf("left behind: %d connections, %d bytes, %d deadlines", front.Conns(), front.Unsent(), m.Loop.Len())
 		}
 	})
 }
--- a/internal/wire/httpfront/parser.go
+++ b/internal/wire/httpfront/parser.go
@@ -1,4 +1,4 @@
-// Package httpfront is the platform's front: HTTP/1.1 calls from clients.
+// Package httpfront serves calls that clients send by HTTP/1.1.
 package httpfront
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Bounds of a request.
+// Bounds of a request, in bytes.
 const (
 	maxHead = 8 << 10
 	maxBody = 16 << 10
@@ -19,13 +19,13 @@
 type Request struct {
 	Method, Path string
 	Header       map[string]string // names in lower case
-	Twice        string            // a name that stands there with two values
+	Ambiguous    string            // a header that was sent with two different values, if any
 	Body         []byte
-	Came         time.Duration // when its last byte was read
-	Close        bool          // the client asked for the connection to be closed after the answer
+	ReceivedAt   time.Duration // when its last byte was read, on the event loop's clock
+	Close        bool          // close the connection after the answer, as the client asked
 }
 
-// BadRequest is a request that can't be read. The connection is of no more use.
+// BadRequest is a request that can't be read or answered. Text is the body of the answer.
 type BadRequest struct {
 	Status int
 	Text   string
@@ -33,22 +33,22 @@
 
 func (e *BadRequest) Error() string { return fmt.Sprintf("%d %s", e.Status, e.Text) }
 
-func bad(status int, format string, a ...any) error {
+func badRequestf(status int, format string, a ...any) error {
 	return &BadRequest{status, fmt.Sprintf(format, a...)}
 }
 
-// Parser cuts a stream of bytes into requests. After an error it takes nothing more.
+// Parser splits a stream of bytes into requests. After an error it accepts no more input.
 type Parser struct {
-	buf  []byte
-	req  *Request // head read, body awaited
-	need int
-	err  error
+	buf     []byte
+	req     *Request // head read, body still incomplete
+	bodyLen int
+	err     error
 }
 
-// Idle reports whether nothing of a request has come yet.
+// Idle reports whether no part of a next request has arrived.
 func (p *Parser) Idle() bool { return p.err == nil && p.req == nil && len(p.buf) == 0 }
 
-// Feed takes the next bytes and calls emit for every request that is whole. An error of emit is an error of the stream.
+// Feed takes the next bytes and calls emit for every whole request. An error of emit ends the stream like a parse error.
 func (p *Parser) Feed(b []byte, emit func(*Request) error) error {
 	if p.err != nil {
 		return p.err
@@ -61,19 +61,19 @@
 			}
 			end := bytes.Index(p.buf, []byte("\r\n\r\n"))
 			if end > maxHead || end < 0 && len(p.buf) > maxHead {
-				p.err = bad(431, "head of more than %d bytes", maxHead)
+				p.err = badRequestf(431, "head of more than %d bytes", maxHead)
 			} else if end < 0 {
 				break
-			} else if p.req, p.need, p.err = parseHead(string(p.buf[:end])); p.err == nil {
+			} else if p.req, p.bodyLen, p.err = parseHead(string(p.buf[:end])); p.err == nil {
 				p.buf = p.buf[end+4:]
 			}
 			continue
 		}
-		if len(p.buf) < p.need {
+		if len(p.buf) < p.bodyLen {
 			break
 		}
-		p.req.Body = append([]byte(nil), p.buf[:p.need]...)
-		p.buf = p.buf[p.need:]
+		p.req.Body = append([]byte(nil), p.buf[:p.bodyLen]...)
+		p.buf = p.buf[p.bodyLen:]
 		req := p.req
 		p.req = nil
 		p.err = emit(req)
@@ -84,8 +84,8 @@
 	return p.err
 }
 
-// notInName reports whether a character may not stand in a header's name.
-func notInName(c rune) bool {
+// invalidInName reports whether a character is not allowed in the name of a header.
+func invalidInName(c rune) bool {
 	return c <= ' ' || c >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, c)
 }
 
@@ -94,51 +94,51 @@
 	method, target, ok := strings.Cut(line, " ")
 	path, proto, ok2 := strings.Cut(target, " ")
 	if !ok || !ok2 || method == "" || !strings.HasPrefix(path, "/") || strings.ContainsAny(path, " \t\r\n") {
-		return nil, 0, bad(400, "request line")
+		return nil, 0, badRequestf(400, "request line")
 	}
 	if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
-		return nil, 0, bad(400, "protocol version")
+		return nil, 0, badRequestf(400, "protocol version")
 	}
 	r := &Request{Method: method, Path: path, Header: map[string]string{}, Close: proto == "HTTP/1.0"}
 	for rest != "" {
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
-		if !ok || name == "" || strings.ContainsFunc(name, notInName) {
-			return nil, 0, bad(400, "header line")
+		if !ok || name == "" || strings.ContainsFunc(name, invalidInName) {
+			return nil, 0, badRequestf(400, "header line")
 		}
 		name, value = strings.ToLower(name), strings.Trim(value, " \t")
 		if strings.ContainsAny(value, "\r\n\x00") {
-			return nil, 0, bad(400, "header value")
+			return nil, 0, badRequestf(400, "header value")
 		}
-		if old, again := r.Header[name]; again && old != value { // which one counts would be anybody's guess
+		if old, repeated := r.Header[name]; repeated && old != value { // it is ambiguous which value counts
 			if name == "content-length" {
-				return nil, 0, bad(400, "two lengths")
+				return nil, 0, badRequestf(400, "two lengths")
 			}
-			r.Twice = name
+			r.Ambiguous = name
 		}
 		r.Header[name] = value
 	}
 	if _, chunked := r.Header["transfer-encoding"]; chunked {
-		return nil, 0, bad(411, "a body needs a Content-Length")
+		return nil, 0, badRequestf(411, "a body needs a Content-Length")
 	}
-	for _, word := range strings.Split(strings.ToLower(r.Header["connection"]), ",") {
-		switch strings.TrimSpace(word) {
+	for _, option := range strings.Split(strings.ToLower(r.Header["connection"]), ",") {
+		switch strings.TrimSpace(option) {
 		case "close":
 			r.Close = true
 		case "keep-alive":
 			r.Close = false
 		}
 	}
-	length, told := r.Header["content-length"]
-	if !told {
+	length, present := r.Header["content-length"]
+	if !present {
 		return r, 0, nil
 	}
 	n, err := strconv.ParseUint(length, 10, 31)
 	if err != nil || strings.HasPrefix(length, "+") {
-		return nil, 0, bad(400, "content length")
+		return nil, 0, badRequestf(400, "content length")
 	}
 	if n > maxBody {
-		return nil, 0, bad(413, "body of more than %d bytes", maxBody)
+		return nil, 0, badRequestf(413, "body of more than %d bytes", maxBody)
 	}
 	return r, int(n), nil
 }
--- a/internal/wire/ipfix/ipfix_test.go
+++ b/internal/wire/ipfix/ipfix_test.go
@@ -11,20 +11,20 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// collector is a stand-in that decodes what comes by the templates that came before, as RFC 7011 says.
-type collector struct {
+// fakeCollector decodes messages by the templates received before, as RFC 7011 states.
+type fakeCollector struct {
 	*wiretest.Conn
 	t         testing.TB
 	buf       []byte
 	templates map[uint16][][3]uint32 // id, size, enterprise
 	records   []map[string]string
 	sequence  uint32
-	begun     bool
+	started   bool
 }
 
-func (c *collector) Closed(error) {}
+func (c *fakeCollector) Closed(error) {}
 
-func (c *collector) Data(b []byte) error {
+func (c *fakeCollector) Data(b []byte) error {
 	c.buf = append(c.buf, b...)
 	for len(c.buf) >= 16 {
 		n := int(binary.BigEndian.Uint16(c.buf[2:]))
@@ -37,14 +37,14 @@
 	return nil
 }
 
-func (c *collector) message(b []byte) {
+func (c *fakeCollector) message(b []byte) {
 	be := binary.BigEndian
 	if v := be.Uint16(b); v != 10 {
 		c.t.Fatalf("version %d", v)
 	}
 	seq := be.Uint32(b[8:])
-	if !c.begun {
-		c.begun, c.sequence = true, seq // counted over all connections
+	if !c.started {
+		c.started, c.sequence = true, seq // counted over all connections
 	}
 	if seq != c.sequence {
 		c.t.Errorf("sequence %d after %d records", seq, c.sequence)
@@ -92,27 +92,27 @@
 	}
 }
 
-func export(t testing.TB, queue int) (*wiretest.World, *Exporter, *[]*collector) {
-	w, all := wiretest.New(t), &[]*collector{}
-	w.Listen("c", func(conn *wiretest.Conn) sock.Handler {
-		c := &collector{Conn: conn, t: t, templates: map[uint16][][3]uint32{}}
+func newExporter(t testing.TB, queue int) (*wiretest.World, *Exporter, *[]*fakeCollector) {
+	world, all := wiretest.New(t), &[]*fakeCollector{}
+	world.Listen("c", func(conn *wiretest.Conn) sock.Handler {
+		c := &fakeCollector{Conn: conn, t: t, templates: map[uint16][][3]uint32{}}
 		*all = append(*all, c)
 		return c
 	})
-	return w, New(w.Loop, w, Options{Collector: "c", Domain: 3, Enterprise: 32473, Queue: queue, Tenants: []string{"a", "b"}},
-		w.Log()), all
+	return world, New(world.Loop, world, Options{Collector: "c", Domain: 3, Enterprise: 32473, Queue: queue, Tenants: []string{"a", "b"}},
+		world.Log()), all
 }
 
-func call(w *wiretest.World) core.Record {
+func testRecord(world *wiretest.World) core.Record {
 	return core.Record{Call: &core.Call{ClassName: "read", Tenant: 1, Function: "00000000000000ff", Body: []byte("x")},
-		Bytes: 1, Start: w.Now() - time.Second, End: w.Now(), Answer: "refused", Attempts: 2, Host: "w1"}
+		Bytes: 1, Start: world.Now() - time.Second, End: world.Now(), Answer: "refused", Attempts: 2, Host: "w1"}
 }
 
 func TestRecordIsDecoded(t *testing.T) {
-	w, e, all := export(t, 10)
+	world, e, all := newExporter(t, 10)
 	e.Start()
-	e.Observe(call(w))
-	w.Pass(sendEvery)
+	e.Observe(testRecord(world))
+	world.Advance(sendInterval)
 	r := (*all)[0].records[0]
 	for name, want := range map[string]string{"0/152": fmt.Sprint((1000*time.Hour - time.Second).Milliseconds()),
 		"0/153": fmt.Sprint((1000 * time.Hour).Milliseconds()), "0/1": "1", "0/96": "read", "0/371": "b", "32473/1": "2",
@@ -123,55 +123,55 @@
 	}
 }
 
-// With the collector away the queue fills to its bound, the rest is counted, and calls are not held up; a new
-// connection begins with the template again.
-func TestCollectorAway(t *testing.T) {
-	w, e, all := export(t, 5)
-	w.Silent["c"] = true
+// While the collector is unreachable the queue fills to its limit, further records are counted as dropped, and calls are not
+// delayed. A new connection begins with the template again.
+func TestUnreachableCollector(t *testing.T) {
+	world, e, all := newExporter(t, 5)
+	world.Unanswered["c"] = true
 	e.Start()
 	for range 8 {
-		e.Observe(call(w))
+		e.Observe(testRecord(world))
 	}
-	w.Silent["c"] = false
-	w.Pass(time.Minute)
-	if e.Sent() != 0 { // the silent connect is still out: nbio's caller ends it, here the test does
+	world.Unanswered["c"] = false
+	world.Advance(time.Minute)
+	if e.Sent() != 0 { // the unanswered connect is still pending; in production the dialer times it out, here the test ends it
 		t.Fatalf("sent %d", e.Sent())
 	}
-	e.fail(e.try, nil)
-	w.Pass(time.Minute)
+	e.fail(e.connSeq, nil)
+	world.Advance(time.Minute)
 	if e.Sent() != 5 || e.Dropped() != 3 || len((*all)[0].records) != 5 {
 		t.Errorf("sent %d, dropped %d", e.Sent(), e.Dropped())
 	}
 	(*all)[0].Close()
-	w.Pass(time.Minute)
-	e.Observe(call(w))
+	world.Advance(time.Minute)
+	e.Observe(testRecord(world))
 	e.Stop()
-	w.Run()
+	world.Run()
 	if len((*all)[1].records) != 1 {
-		t.Error("nothing came on the second connection")
+		t.Error("no record arrived on the second connection")
 	}
 }
 
-// FuzzExporter breaks the connection at random. The model: each record is sent once or counted as dropped.
+// FuzzExporter breaks the connection at random. Each record must be sent once or counted as dropped.
 func FuzzExporter(f *testing.F) {
 	f.Add([]byte{0, 0, 1, 2, 0, 3, 0, 0, 0, 1, 2})
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		w, e, all := export(t, 4)
+		world, e, all := newExporter(t, 4)
 		e.Start()
 		observed := uint64(0)
 		for _, step := range steps[:min(len(steps), 100)] {
 			switch step % 4 {
 			case 0, 3:
 				observed++
-				e.Observe(call(w))
+				e.Observe(testRecord(world))
 			case 1:
-				w.Pass(time.Duration(step) * 20 * time.Millisecond)
+				world.Advance(time.Duration(step) * 20 * time.Millisecond)
 			case 2:
 				if n := len(*all); n > 0 {
 					(*all)[n-1].Close()
 				}
 			}
-			w.Run()
+			world.Run()
 		}
 		e.Stop()
 		if e.Sent()+e.Dropped() != observed {
--- a/internal/wire/mqtt/connection.go
+++ b/internal/wire/mqtt/connection.go
@@ -10,47 +10,49 @@
 	"quillrail/internal/wire/sock"
 )
 
-// intake is the part of a connection that belongs to the I/O goroutine.
-type intake struct {
-	s      *Session
-	try    uint64
-	parser Parser
+// connHandler handles the input of one connection on the I/O goroutine.
+type connHandler struct {
+	session *Session
+	connSeq uint64
+	parser  Parser
 }
 
-func (i *intake) Data(b []byte) error {
-	var got []*Packet
-	err := i.parser.Feed(b, func(p *Packet) {
-		p.Came = i.s.loop.Clock()
-		got = append(got, p)
+func (h *connHandler) Data(b []byte) error {
+	var packets []*Packet
+	err := h.parser.Feed(b, func(p *Packet) {
+		p.ReceivedAt = h.session.loop.Clock()
+		packets = append(packets, p)
 	})
-	i.s.loop.Post(func() {
-		for _, p := range got {
-			if err := i.s.take(i.try, p); err != nil {
-				i.s.refuse(i.try, err)
+	h.session.loop.Post(func() {
+		for _, p := range packets {
+			if err := h.session.handle(h.connSeq, p); err != nil {
+				h.session.reject(h.connSeq, err)
 				return
 			}
 		}
 		if err != nil {
-			i.s.refuse(i.try, err)
+			h.session.reject(h.connSeq, err)
 		}
 	})
-	return nil // the turn closes, so that the broker is told why
+	return nil // the event loop closes the connection, after a DISCONNECT with the reason
 }
 
-// Flushed says that the broker has taken all that was written.
-func (i *intake) Flushed() {
-	i.s.loop.Post(func() {
-		if i.try == i.s.try {
-			i.s.pump()
+// Flushed is called when the broker has taken all that was written.
+func (h *connHandler) Flushed() {
+	h.session.loop.Post(func() {
+		if h.connSeq == h.session.connSeq {
+			h.session.sendQueued()
 		}
 	})
 }
 
-func (i *intake) Closed(err error) { i.s.loop.Post(func() { i.s.fail(i.try, err) }) }
+func (h *connHandler) Closed(err error) {
+	h.session.loop.Post(func() { h.session.fail(h.connSeq, err) })
+}
 
-// refuse ends a connection whose broker breaks the protocol.
-func (s *Session) refuse(try uint64, err error) {
-	if try == s.try && s.conn != nil {
+// reject ends a connection whose broker violates the protocol.
+func (s *Session) reject(connSeq uint64, err error) {
+	if connSeq == s.connSeq && s.conn != nil {
 		reason := byte(ProtocolError)
 		if errors.Is(err, ErrMalformed) {
 			reason = Malformed
@@ -58,151 +60,153 @@
 		s.write(Append(nil, Disconnect, 0, []byte{reason}))
 		s.Flush()
 	}
-	s.fail(try, err)
+	s.fail(connSeq, err)
 }
 
-func (s *Session) opened(try uint64, c sock.Conn, err error) {
-	if try != s.try || s.stopped {
+func (s *Session) opened(connSeq uint64, c sock.Conn, err error) {
+	if connSeq != s.connSeq || s.stopped {
 		if c != nil {
 			c.Close()
 		}
 		return
 	}
 	if err != nil {
-		s.fail(try, err)
+		s.fail(connSeq, err)
 		return
 	}
 	s.conn = c
 	p := &Props{ReceiveMax: receiveMax, MaxPacket: maxPacket}
-	if !s.opt.Clean {
-		p.SessionExpiry = uint32(s.opt.Expiry / time.Second)
+	if !s.opts.CleanStart {
+		p.SessionExpiry = uint32(s.opts.SessionExpiry / time.Second)
 	}
-	s.write(AppendConnect(nil, s.opt.ClientID, s.opt.Clean, uint16(s.opt.KeepAlive/time.Second), p))
+	s.write(AppendConnect(nil, s.opts.ClientID, s.opts.CleanStart, uint16(s.opts.KeepAlive/time.Second), p))
 }
 
-func (s *Session) take(try uint64, p *Packet) error {
-	if try != s.try || s.conn == nil {
+// handle handles a packet of connection connSeq. An error ends the connection.
+func (s *Session) handle(connSeq uint64, p *Packet) error {
+	if connSeq != s.connSeq || s.conn == nil {
 		return nil
 	}
-	if s.up && !s.asking {
-		s.heard(try)
+	if s.up && !s.subscribing {
+		s.resetWatchdog(connSeq)
 	}
 	switch {
-	case p.Type == Connack && s.limit == 0:
-		return s.accepted(p)
-	case s.limit == 0:
+	case p.Type == Connack && s.maxInFlight == 0:
+		return s.handleConnack(p)
+	case s.maxInFlight == 0:
 		return fmt.Errorf("packet of type %d before CONNACK", p.Type)
-	case p.Type == Suback && s.asking:
+	case p.Type == Suback && s.subscribing:
 		for _, reason := range p.Reasons {
-			if reason >= failureReasons {
+			if reason >= firstFailure {
 				return fmt.Errorf("subscription refused: %#x", reason)
 			}
 		}
-		s.asking = false
-		s.heard(try)
+		s.subscribing = false
+		s.resetWatchdog(connSeq)
 	case p.Type == Publish && p.QoS() <= 1:
-		s.receive(p, Receipt{s, try, p.ID})
+		s.onPublish(p, Receipt{s, connSeq, p.ID})
 	case p.Type == Puback:
-		s.acked(p)
+		s.handlePuback(p)
 	case p.Type == Pingresp:
 	case p.Type == Disconnect:
-		return fmt.Errorf("broker says good-bye: %#x %s", p.Reasons[0], p.Props.Reason)
+		return fmt.Errorf("broker sent DISCONNECT: %#x %s", p.Reasons[0], p.Props.Reason)
 	default:
-		return fmt.Errorf("packet of type %d", p.Type)
+		return fmt.Errorf("unexpected packet of type %d", p.Type)
 	}
 	return nil
 }
 
-func (s *Session) accepted(p *Packet) error {
-	if p.Reasons[0] >= failureReasons {
+func (s *Session) handleConnack(p *Packet) error {
+	if p.Reasons[0] >= firstFailure {
 		return fmt.Errorf("broker refused the session: %#x %s", p.Reasons[0], p.Props.Reason)
 	}
-	s.limit, s.largest = window, maxPacket
+	s.maxInFlight, s.maxPacketSize = sendWindow, maxPacket
 	if n := int(p.Props.ReceiveMax); n > 0 {
-		s.limit = min(s.limit, n)
+		s.maxInFlight = min(s.maxInFlight, n)
 	}
 	if n := int(p.Props.MaxPacket); n > 0 {
-		s.largest = min(s.largest, n)
+		s.maxPacketSize = min(s.maxPacketSize, n)
 	}
 	if p.Props.HasKeepAlive {
-		s.opt.KeepAlive = time.Duration(p.Props.KeepAlive) * time.Second
+		s.opts.KeepAlive = time.Duration(p.Props.KeepAlive) * time.Second
 	}
-	for _, m := range s.queue[:s.sent] { // a new session knows nothing of these: they go as new ones
-		m.dup = p.Present
+	for _, m := range s.queue[:s.sent] { // a new session does not know these, so they are sent without the DUP flag
+		m.dup = p.SessionPresent
 	}
 	s.sent = 0
-	// A session that was kept has its subscriptions, but asking again is harmless and makes sure of them. The
-	// session is usable at once: a broker may send what was asked for before it says that it will.
-	if s.asking = len(s.opt.Subscribe) > 0; s.asking {
-		s.write(AppendSubscribe(nil, s.nextID(), s.opt.Subscribe))
+	// A resumed session still has its subscriptions, but subscribing again is harmless and makes sure of them. The session is
+	// usable at once, since a broker may send messages for a subscription before its SUBACK.
+	if s.subscribing = len(s.opts.Subscribe) > 0; s.subscribing {
+		s.write(AppendSubscribe(nil, s.nextID(), s.opts.Subscribe))
 	} else {
-		s.heard(s.try)
+		s.resetWatchdog(s.connSeq)
 	}
-	s.ready()
+	s.comeUp()
 	return nil
 }
 
-func (s *Session) ready() {
-	if s.lost > 0 {
-		s.log.Info("broker is back", zap.Duration("after", s.loop.Now()-s.lost), zap.Int("waiting", len(s.queue)))
+func (s *Session) comeUp() {
+	if s.lostAt > 0 {
+		s.log.Info("broker is back", zap.Duration("after", s.loop.Now()-s.lostAt), zap.Int("waiting", len(s.queue)))
 	}
-	s.up, s.backoff, s.lost = true, retryFirst, 0
-	s.beat(s.try)
-	s.pump()
-	if s.state != nil {
-		s.state(true)
+	s.up, s.backoff, s.lostAt = true, minBackoff, 0
+	s.schedulePing(s.connSeq)
+	s.sendQueued()
+	if s.onState != nil {
+		s.onState(true)
 	}
 }
 
-// heard starts the time of silence anew after which the connection counts as lost.
-func (s *Session) heard(try uint64) {
-	s.loop.Cancel(s.watch)
-	if s.opt.KeepAlive > 0 {
-		s.watch = s.loop.After(s.opt.KeepAlive*3/2, func() { s.fail(try, errors.New("silent")) })
+// resetWatchdog restarts the period of silence after which the connection counts as lost.
+func (s *Session) resetWatchdog(connSeq uint64) {
+	s.loop.Cancel(s.watchdog)
+	if s.opts.KeepAlive > 0 {
+		s.watchdog = s.loop.After(s.opts.KeepAlive*3/2, func() { s.fail(connSeq, errors.New("silent")) })
 	}
 }
 
-// beat pings the broker at half the keep-alive, so that its answer is due well before the silence is too long.
-func (s *Session) beat(try uint64) {
-	if s.opt.KeepAlive <= 0 {
+// schedulePing pings the broker at half the keep-alive interval, so that the answer is due well before the watchdog expires.
+func (s *Session) schedulePing(connSeq uint64) {
+	if s.opts.KeepAlive <= 0 {
 		return
 	}
-	s.ping = s.loop.After(s.opt.KeepAlive/2, func() {
-		if try == s.try && s.up {
+	s.pingTimer = s.loop.After(s.opts.KeepAlive/2, func() {
+		if connSeq == s.connSeq && s.up {
 			s.write(Append(nil, Pingreq, 0, nil))
-			s.beat(try)
+			s.schedulePing(connSeq)
 		}
 	})
 }
 
-func (s *Session) fail(try uint64, why error) {
-	if try != s.try {
+// fail ends connection connSeq and schedules the next one. A clean session gives up its queued messages.
+func (s *Session) fail(connSeq uint64, why error) {
+	if connSeq != s.connSeq {
 		return
 	}
-	s.try++ // whatever comes of this connection is too late
-	s.loop.Cancel(s.watch)
-	s.loop.Cancel(s.ping)
+	s.connSeq++ // later callbacks of this connection are ignored
+	s.loop.Cancel(s.watchdog)
+	s.loop.Cancel(s.pingTimer)
 	if s.conn != nil {
 		s.conn.Close()
 	}
-	was := s.up
-	s.conn, s.up, s.asking, s.limit, s.out = nil, false, false, 0, nil
-	if s.lost == 0 && !s.stopped {
-		s.lost = s.loop.Now()
-		s.log.Warn("broker lost", zap.String("broker", s.opt.Broker), zap.Error(why))
+	wasUp := s.up
+	s.conn, s.up, s.subscribing, s.maxInFlight, s.out = nil, false, false, 0, nil
+	if s.lostAt == 0 && !s.stopped {
+		s.lostAt = s.loop.Now()
+		s.log.Warn("broker lost", zap.String("broker", s.opts.Broker), zap.Error(why))
 	}
-	var ends []*Pending
-	if s.opt.Clean || s.stopped {
-		ends, s.queue, s.sent, s.bytes = s.queue, nil, 0, 0
+	var abandoned []*Pending
+	if s.opts.CleanStart || s.stopped {
+		abandoned, s.queue, s.sent, s.queuedBytes = s.queue, nil, 0, 0
 	}
 	if !s.stopped {
 		s.loop.After(s.backoff, s.Connect)
-		s.backoff = min(2*s.backoff, retryMost)
+		s.backoff = min(2*s.backoff, maxBackoff)
 	}
-	if was && s.state != nil {
-		s.state(false)
+	if wasUp && s.onState != nil {
+		s.onState(false)
 	}
-	for _, o := range ends {
+	for _, o := range abandoned {
 		o.done(0, errLost)
 	}
 }
--- a/internal/wire/mqtt/decode.go
+++ b/internal/wire/mqtt/decode.go
@@ -7,13 +7,13 @@
 	"unicode/utf8"
 )
 
-// Parser cuts a stream of bytes into packets. After an error it takes nothing more.
+// Parser splits a stream of bytes into packets. After an error it accepts no more input.
 type Parser struct {
 	buf []byte
 	err error
 }
 
-// Feed takes the next bytes and calls emit for every packet that is whole.
+// Feed takes the next bytes and calls emit for every whole packet.
 func (p *Parser) Feed(b []byte, emit func(*Packet)) error {
 	if p.err != nil {
 		return p.err
@@ -47,7 +47,7 @@
 	return p.err
 }
 
-// parsePacket reads a packet whose body it may keep.
+// parsePacket parses a packet. It may keep references to body.
 func parsePacket(head byte, body []byte) (*Packet, error) {
 	p := &Packet{Type: head >> 4, Flags: head & 15}
 	r := &reader{b: body}
@@ -63,13 +63,13 @@
 		}
 		r.props(&p.Props)
 		p.Payload = r.b
-		if p.Topic == "" || strings.ContainsAny(p.Topic, "+#") { // no aliases: the broker was told of none
+		if p.Topic == "" || strings.ContainsAny(p.Topic, "+#") { // topic aliases are not allowed, since CONNECT announced none
 			r.fail("topic")
 		}
 		r.b = nil
 	case Connack:
 		flags := r.byte()
-		p.Present, p.Reasons = flags&1 != 0, []byte{r.byte()}
+		p.SessionPresent, p.Reasons = flags&1 != 0, []byte{r.byte()}
 		if flags > 1 {
 			r.fail("flags of CONNACK")
 		}
@@ -98,7 +98,7 @@
 		if p.Type == Subscribe {
 			want = 2
 		}
-		p.Rest, r.b = r.b, nil
+		p.Body, r.b = r.b, nil
 	default:
 		return nil, fmt.Errorf("%w: packet of type %d", ErrMalformed, p.Type)
 	}
@@ -106,12 +106,12 @@
 		r.fail("flags")
 	}
 	if len(r.b) > 0 {
-		r.fail("more than the packet should hold")
+		r.fail("trailing bytes after the packet")
 	}
 	return p, r.err
 }
 
-// reader takes a packet's body apart. After a fault it yields zeros, and the first fault is kept.
+// reader reads the fields of a packet's body. After an error it returns zero values, and the first error is kept.
 type reader struct {
 	b   []byte
 	err error
@@ -124,7 +124,7 @@
 	r.b = nil
 }
 
-func (r *reader) take(n int) []byte {
+func (r *reader) next(n int) []byte {
 	if len(r.b) < n {
 		r.fail("too short")
 		return make([]byte, n&0xffff)
@@ -134,14 +134,14 @@
 	return b
 }
 
-func (r *reader) byte() byte { return r.take(1)[0] }
+func (r *reader) byte() byte { return r.next(1)[0] }
 
-func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.take(2)) }
+func (r *reader) u16() uint16 { return binary.BigEndian.Uint16(r.next(2)) }
 
-func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.take(4)) }
+func (r *reader) u32() uint32 { return binary.BigEndian.Uint32(r.next(4)) }
 
 func (r *reader) data() []byte {
-	return r.take(int(r.u16()))
+	return r.next(int(r.u16()))
 }
 
 func (r *reader) id() uint16 {
@@ -176,7 +176,7 @@
 
 // props reads a block of properties into p.
 func (r *reader) props(p *Props) {
-	block := &reader{b: r.take(r.varint())}
+	block := &reader{b: r.next(r.varint())}
 	if r.err != nil {
 		return
 	}
@@ -187,40 +187,41 @@
 			block.fail("property")
 			break
 		}
-		seen[id] = id != 0x26 && id != 0x0b // only these may come again
+		seen[id] = id != propUser && id != propSubscriptionID // all other properties may occur once
 		switch id {
-		case 0x02:
+		case propMessageExpiry:
 			p.Expiry, p.HasExpiry = block.u32(), true
-		case 0x08:
+		case propResponseTopic:
 			p.ResponseTopic = block.text()
 			if strings.ContainsAny(p.ResponseTopic, "+#") {
 				block.fail("response topic")
 			}
-		case 0x09:
+		case propCorrelation:
 			p.Correlation = block.data()
-		case 0x11:
+		case propSessionExpiry:
 			p.SessionExpiry = block.u32()
-		case 0x13:
+		case propServerKeepAlive:
 			p.KeepAlive, p.HasKeepAlive = block.u16(), true
-		case 0x1f:
+		case propReasonString:
 			p.Reason = block.text()
-		case 0x21:
+		case propReceiveMax:
 			if p.ReceiveMax = block.u16(); p.ReceiveMax == 0 {
 				block.fail("receive maximum 0")
 			}
-		case 0x26:
+		case propUser:
 			p.User = append(p.User, Pair{block.text(), block.text()})
-		case 0x27:
+		case propMaxPacket:
 			if p.MaxPacket = block.u32(); p.MaxPacket == 0 {
 				block.fail("maximum packet size 0")
 			}
+		// From here on, properties that are checked for their form and ignored.
 		case 0x01, 0x17, 0x19, 0x24, 0x25, 0x28, 0x29, 0x2a:
 			block.byte()
 		case 0x22, 0x23:
 			block.u16()
 		case 0x18:
 			block.u32()
-		case 0x0b:
+		case propSubscriptionID:
 			block.varint()
 		case 0x03, 0x12, 0x15, 0x1a, 0x1c:
 			block.text()
--- a/internal/wire/mqtt/delivery.go
+++ b/internal/wire/mqtt/delivery.go
@@ -9,13 +9,13 @@
 	"quillrail/internal/core"
 )
 
-// delivery is one message that asks for a call. Several may ask for the same.
+// delivery is one message with a call. Several deliveries may carry the same call.
 type delivery struct {
-	f       *Front
-	to      string // response topic, empty if none is wanted
-	corr    []byte
-	receipt Receipt
-	acked   bool
+	front         *Front
+	responseTopic string // empty if no answer is wanted
+	correlation   []byte
+	receipt       Receipt
+	acked         bool
 }
 
 func (d *delivery) ack() {
@@ -25,11 +25,11 @@
 	}
 }
 
-// answer publishes the outcome, and acknowledges the call if that has not been done.
+// answer publishes the outcome, and acknowledges the call unless that has been done.
 func (d *delivery) answer(a core.Answer) {
-	if d.to != "" {
-		m := Message{Topic: d.to, Payload: a.Body}
-		m.Props = Props{Correlation: d.corr, Expiry: uint32(replyLife / time.Second), HasExpiry: true,
+	if d.responseTopic != "" {
+		m := Message{Topic: d.responseTopic, Payload: a.Body}
+		m.Props = Props{Correlation: d.correlation, Expiry: uint32(replyExpiry / time.Second), HasExpiry: true,
 			User: []Pair{{"outcome", a.Kind}}}
 		if a.Kind == refused {
 			m.Props.User = append(m.Props.User, Pair{"retry-after-ms", strconv.FormatInt(a.RetryAfter.Milliseconds(), 10)})
@@ -37,37 +37,37 @@
 		if a.Reason != "" {
 			m.Props.User = append(m.Props.User, Pair{"reason", a.Reason})
 		}
-		d.f.session.Publish(m, func(reason byte, err error) {
+		d.front.session.Publish(m, func(reason byte, err error) {
 			switch {
 			case err != nil:
-				d.f.log.Warn("outcome not published", zap.String("topic", d.to), zap.Error(err))
+				d.front.log.Warn("outcome not published", zap.String("topic", d.responseTopic), zap.Error(err))
 			case reason == NoSubscribers:
-				d.f.log.Info("outcome reached nobody", zap.String("topic", d.to))
-			case reason >= failureReasons:
-				d.f.log.Warn("outcome refused by the broker", zap.String("topic", d.to), zap.Uint8("reason", reason))
+				d.front.log.Info("outcome reached nobody", zap.String("topic", d.responseTopic))
+			case reason >= firstFailure:
+				d.front.log.Warn("outcome refused by the broker", zap.String("topic", d.responseTopic), zap.Uint8("reason", reason))
 			}
 		})
 	}
 	d.ack()
 }
 
-// exchange takes the one answer of a call.
+// exchange takes the answer of one call from the core.
 type exchange struct {
-	keys  *core.Keys
-	key   string
-	entry *core.Entry
-	keep  bool
+	keys     *core.Keys
+	key      string
+	entry    *core.Entry
+	remember bool
 }
 
-func (x *exchange) close(a core.Answer) { x.keys.Close(x.key, x.entry, a, x.keep) }
+func (x *exchange) finish(a core.Answer) { x.keys.Close(x.key, x.entry, a, x.remember) }
 
-// ClientGone is false: who asked by a message has its outcome recorded whether or not it still listens.
+// ClientGone is false: the outcome of a call that came by MQTT is recorded whether or not its sender still listens.
 func (x *exchange) ClientGone() bool { return false }
 
-func (x *exchange) Served(body []byte) { x.close(core.Answer{Kind: served, Body: body}) }
+func (x *exchange) Served(body []byte) { x.finish(core.Answer{Kind: served, Body: body}) }
 
 func (x *exchange) Refused(pause time.Duration, why string) {
-	x.close(core.Answer{Kind: refused, RetryAfter: pause, Reason: why})
+	x.finish(core.Answer{Kind: refused, RetryAfter: pause, Reason: why})
 }
 
 func (x *exchange) Failed(why core.Failure) {
@@ -78,5 +78,5 @@
 	if why == core.Duplicate {
 		text = "the id is that of an open call"
 	}
-	x.close(core.Answer{Kind: failed, Reason: text})
+	x.finish(core.Answer{Kind: failed, Reason: text})
 }
--- a/internal/wire/mqtt/encode.go
+++ b/internal/wire/mqtt/encode.go
@@ -4,61 +4,61 @@
 	"encoding/binary"
 )
 
-// Append adds a packet: its type and flags, and a body.
+// Append appends a packet with its type, flags and body.
 func Append(out []byte, kind, flags byte, body []byte) []byte {
 	out = binary.AppendUvarint(append(out, kind<<4|flags), uint64(len(body)))
 	return append(out, body...)
 }
 
-// AppendText adds a string or binary field; what is too long for one is cut.
+// AppendText appends a string or binary field. It is truncated at 65535 bytes, the longest that the format can hold.
 func AppendText[T string | []byte](out []byte, s T) []byte {
 	s = s[:min(len(s), 0xffff)]
 	return append(binary.BigEndian.AppendUint16(out, uint16(len(s))), s...)
 }
 
-// AppendProps adds a block of properties.
+// AppendProps appends a block of properties.
 func AppendProps(out []byte, p *Props) []byte {
 	var b []byte
 	u16 := func(id byte, n uint16) { b = binary.BigEndian.AppendUint16(append(b, id), n) }
 	u32 := func(id byte, n uint32) { b = binary.BigEndian.AppendUint32(append(b, id), n) }
 	if p.HasExpiry {
-		u32(0x02, p.Expiry)
+		u32(propMessageExpiry, p.Expiry)
 	}
 	if p.ResponseTopic != "" {
-		b = AppendText(append(b, 0x08), p.ResponseTopic)
+		b = AppendText(append(b, propResponseTopic), p.ResponseTopic)
 	}
 	if p.Correlation != nil {
-		b = AppendText(append(b, 0x09), p.Correlation)
+		b = AppendText(append(b, propCorrelation), p.Correlation)
 	}
 	if p.SessionExpiry > 0 {
-		u32(0x11, p.SessionExpiry)
+		u32(propSessionExpiry, p.SessionExpiry)
 	}
 	if p.HasKeepAlive {
-		u16(0x13, p.KeepAlive)
+		u16(propServerKeepAlive, p.KeepAlive)
 	}
 	if p.Reason != "" {
-		b = AppendText(append(b, 0x1f), p.Reason)
+		b = AppendText(append(b, propReasonString), p.Reason)
 	}
 	if p.ReceiveMax > 0 {
-		u16(0x21, p.ReceiveMax)
+		u16(propReceiveMax, p.ReceiveMax)
 	}
 	if p.MaxPacket > 0 {
-		u32(0x27, p.MaxPacket)
+		u32(propMaxPacket, p.MaxPacket)
 	}
 	for _, u := range p.User {
-		b = AppendText(AppendText(append(b, 0x26), u.Name), u.Value)
+		b = AppendText(AppendText(append(b, propUser), u.Name), u.Value)
 	}
 	return append(binary.AppendUvarint(out, uint64(len(b))), b...)
 }
 
-// Message is what a PUBLISH carries.
+// Message is the content of a PUBLISH.
 type Message struct {
 	Topic   string
 	Payload []byte
 	Props   Props
 }
 
-// AppendPublish adds a PUBLISH; an id of 0 makes it QoS 0.
+// AppendPublish appends a PUBLISH, with QoS 1 or, if id is 0, with QoS 0.
 func AppendPublish(out []byte, m *Message, id uint16, flags byte) []byte {
 	body := AppendText(nil, m.Topic)
 	if id > 0 {
@@ -67,7 +67,7 @@
 	return Append(out, Publish, flags, append(AppendProps(body, &m.Props), m.Payload...))
 }
 
-// AppendPuback adds a PUBACK.
+// AppendPuback appends a PUBACK.
 func AppendPuback(out []byte, id uint16, reason byte) []byte {
 	body := binary.BigEndian.AppendUint16(nil, id)
 	if reason != Success {
@@ -76,7 +76,7 @@
 	return Append(out, Puback, 0, body)
 }
 
-// AppendConnect adds a CONNECT.
+// AppendConnect appends a CONNECT.
 func AppendConnect(out []byte, clientID string, clean bool, keepAlive uint16, p *Props) []byte {
 	body := append(AppendText(nil, "MQTT"), 5, 0)
 	if clean {
@@ -86,7 +86,7 @@
 	return Append(out, Connect, 0, AppendText(body, clientID))
 }
 
-// AppendSubscribe adds a SUBSCRIBE that asks for QoS 1.
+// AppendSubscribe appends a SUBSCRIBE that requests QoS 1 for each filter.
 func AppendSubscribe(out []byte, id uint16, filters []string) []byte {
 	body := AppendProps(binary.BigEndian.AppendUint16(nil, id), &Props{})
 	for _, f := range filters {
--- a/internal/wire/mqtt/front.go
+++ b/internal/wire/mqtt/front.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxBody    = 16 << 10 // as of an HTTP call
-	maxKeys    = 50_000
-	maxAnswers = 16 << 20 // bytes of answers that are remembered
-	replyLife  = time.Minute
+	maxBody        = 16 << 10    // bytes, as of an HTTP call
+	maxKeys        = 50_000      // keyed calls whose answers are remembered
+	maxAnswerBytes = 16 << 20    // bytes of answers that are remembered
+	replyExpiry    = time.Minute // how long the broker stores an answer for a client that is not connected
 )
 
 // The outcomes that a response carries.
@@ -29,71 +29,70 @@
 	failed  = "failed"
 )
 
-// Taker is the part of the core that a front needs.
-type Taker interface {
+// Core is the part of the gateway's core that a front needs.
+type Core interface {
 	Submit(core.Call) core.Ref
-	Count(class int, answer string) // of a call that the front has answered
+	Count(class int, answer string) // counts a call that the front has answered by itself
 }
 
-// Front takes calls that come as messages and publishes their outcomes. It belongs to the turn.
+// Front takes calls that arrive as messages and publishes their outcomes. It is used on the event loop only.
 //
-// A call of a keyed class is acknowledged before it is taken, and its key and answer are remembered for longer
-// than the broker may deliver it again. A gateway that was started anew remembers nothing: since every keyed
-// call was acknowledged before it went out, one marked as delivered again under a key not known here may have
-// run in a former life, and is failed. Calls of safe classes are acknowledged with their outcome, so that the
-// broker keeps them for a gateway that dies.
+// A call of a keyed class is acknowledged before it is passed to the core, and its key and answer are remembered for longer than
+// the broker may deliver it again. After a restart the gateway remembers nothing. Since every keyed call is acknowledged before its
+// first attempt, a redelivered call with an unknown key may have run under a previous process, so it is failed. Calls of safe classes
+// are acknowledged together with their outcome, so that the broker stores them for the next process if this one dies.
 type Front struct {
-	loop    *core.Loop
-	core    Taker
-	site    *settings.Site
-	log     *zap.Logger
-	observe core.Observer
-	session *Session
-	keys    *core.Keys // of keyed calls: what they hold is never forgotten early
-	recent  *core.Keys // of safe calls, which may run again if there is no room
-	rng     *rand.Rand
-	away    bool // drained: callers are sent away
+	loop       *core.Loop
+	core       Core
+	site       *settings.Site
+	log        *zap.Logger
+	observe    core.Observer
+	session    *Session
+	keyedCalls *core.Keys // keyed calls; their keys are never forgotten early
+	safeCalls  *core.Keys // safe calls, which may run again if there is no room to remember them
+	rng        *rand.Rand
+	draining   bool // calls are refused
 }
 
-// awayPause is when callers that are sent away should come back.
-const awayPause = time.Second
+// drainRetryAfter is the wait that refused callers are told while draining.
+const drainRetryAfter = time.Second
 
-// Drain refuses calls from now on, until Resume; what is open goes on, and what is known is answered as ever.
-func (f *Front) Drain() { f.away = true }
+// Drain refuses new calls from now on, until Resume. Calls in flight continue, and known calls are answered as before.
+func (f *Front) Drain() { f.draining = true }
 
-// Resume takes calls again.
-func (f *Front) Resume() { f.away = false }
+// Resume takes new calls again.
+func (f *Front) Resume() { f.draining = false }
 
-// Ready reports whether callers are taken.
-func (f *Front) Ready() bool { return !f.away }
+// Ready reports whether new calls are taken.
+func (f *Front) Ready() bool { return !f.draining }
 
-// NewFront returns a front that takes calls of the broker in opt. keep is for how long answers are remembered.
-// observe is told of outcomes that the core is not asked for.
-func NewFront(loop *core.Loop, net sock.Dialer, taker Taker, site *settings.Site, opt Options, keep time.Duration,
+// NewFront returns a front for the calls of the broker in opts. Answers are remembered for the time in keep. observe gets the
+// records of calls that the front fails without passing them to the core.
+func NewFront(loop *core.Loop, net sock.Dialer, callCore Core, site *settings.Site, opts Options, keep time.Duration,
 	seed uint64, observe core.Observer, log *zap.Logger) *Front {
-	f := &Front{loop: loop, core: taker, site: site, log: log, observe: observe,
-		keys:   core.NewKeys(loop, keep, maxKeys, maxAnswers),
-		recent: core.NewKeys(loop, min(keep, time.Minute), maxKeys/10, maxAnswers/4),
-		rng:    rand.New(rand.NewPCG(seed, 2))}
-	f.session = NewSession(loop, net, opt, f.receive, nil, log)
+	f := &Front{loop: loop, core: callCore, site: site, log: log, observe: observe,
+		keyedCalls: core.NewKeys(loop, keep, maxKeys, maxAnswerBytes),
+		safeCalls:  core.NewKeys(loop, min(keep, time.Minute), maxKeys/10, maxAnswerBytes/4),
+		rng:        rand.New(rand.NewPCG(seed, 2))}
+	f.session = NewSession(loop, net, opts, f.receive, nil, log)
 	return f
 }
 
-// Connect begins to take calls.
+// Connect connects to the broker and starts to take calls.
 func (f *Front) Connect() { f.session.Connect() }
 
-// Stop ends the session's connection; the broker keeps what was not acknowledged.
+// Stop closes the session's connection for good. The broker stores what was not acknowledged.
 func (f *Front) Stop() { f.session.Stop() }
 
-// Up reports whether calls can come.
+// Up reports whether the session is usable, so that calls can arrive.
 func (f *Front) Up() bool { return f.session.Up() }
 
 // Waiting is the number of outcomes that the broker has not acknowledged.
 func (f *Front) Waiting() int { return f.session.Waiting() }
 
 func (f *Front) receive(p *Packet, receipt Receipt) {
-	d := &delivery{f: f, to: p.Props.ResponseTopic, corr: p.Props.Correlation, receipt: receipt}
-	call, err := f.call(p)
+	d := &delivery{front: f, responseTopic: p.Props.ResponseTopic, correlation: p.Props.Correlation, receipt: receipt}
+	call, err := f.parseCall(p)
 	if err != nil {
 		f.log.Info("bad call", zap.String("topic", p.Topic), zap.Error(err))
 		d.answer(core.Answer{Kind: failed, Reason: err.Error()})
@@ -104,59 +103,59 @@
 	switch {
 	case call.Key != "":
 		key = "k " + strconv.Itoa(call.Tenant) + " " + call.Key
-	case d.to != "" && d.corr != nil:
-		key = "c " + d.to + "\x00" + string(d.corr)
+	case d.responseTopic != "" && d.correlation != nil:
+		key = "c " + d.responseTopic + "\x00" + string(d.correlation)
 	}
-	keys := f.recent
+	keys := f.safeCalls
 	if keyed {
-		keys = f.keys
+		keys = f.keyedCalls
 	}
-	e := keys.Find(key)
-	if e != nil && e.Target != what {
+	entry := keys.Find(key)
+	if entry != nil && entry.Target != what {
 		d.answer(core.Answer{Kind: failed, Reason: "the key was used for another call"})
 		return
 	}
-	if e != nil && e.Done && e.Answer.Kind == refused && !p.Dup() {
-		keys.Forget(key, e) // nothing ran, and the client has come again
-		e = nil
+	if entry != nil && entry.Done && entry.Answer.Kind == refused && !p.Dup() {
+		keys.Forget(key, entry) // nothing ran, and the caller tries again
+		entry = nil
 	}
-	if e != nil {
-		f.log.Info("call delivered again", zap.String("key", call.Key), zap.Bool("open", !e.Done))
+	if entry != nil {
+		f.log.Info("call delivered again", zap.String("key", call.Key), zap.Bool("open", !entry.Done))
 		if keyed {
 			d.ack()
 		}
-		e.Join(d.answer)
+		entry.Join(d.answer)
 		return
 	}
-	if f.away && !(keyed && p.Dup()) { // nothing ran, and nothing is remembered of it
+	if f.draining && !(keyed && p.Dup()) { // nothing ran, and nothing is remembered
 		f.core.Count(call.Class, refused)
-		d.answer(core.Answer{Kind: refused, RetryAfter: awayPause})
+		d.answer(core.Answer{Kind: refused, RetryAfter: drainRetryAfter})
 		return
 	}
-	listed := false
+	remembered := false
 	if key != "" {
-		e = keys.Open(key, what)
-		listed = e != nil
+		entry = keys.Open(key, what)
+		remembered = entry != nil
 	}
-	if e == nil && key != "" && keyed {
+	if entry == nil && key != "" && keyed {
 		f.log.Warn("no room for another key", zap.Int("keys", keys.Len()))
 		f.core.Count(call.Class, refused)
 		d.answer(core.Answer{Kind: refused, RetryAfter: f.site.Decide.MaxRetryAfter})
 		return
 	}
-	if e == nil { // nothing tells this call from another, or a safe one found no room
-		e = &core.Entry{Target: what}
+	if entry == nil { // the call has no key or correlation, or is a safe one that found no room
+		entry = &core.Entry{Target: what}
 	}
-	e.Join(d.answer)
-	x := &exchange{keys: keys, key: key, entry: e, keep: listed}
+	entry.Join(d.answer)
+	x := &exchange{keys: keys, key: key, entry: entry, remember: remembered}
 	if keyed {
 		d.ack()
-		f.session.Flush() // before the first attempt goes out
+		f.session.Flush() // before the first attempt is sent
 		if p.Dup() {
 			f.log.Warn("call delivered again, and its key is not known: it may have run", zap.String("key", call.Key))
-			f.record(&call)
+			f.recordFailed(&call)
 			f.core.Count(call.Class, failed)
-			x.close(core.Answer{Kind: failed, Reason: "delivered again, and may have run before this gateway started"})
+			x.finish(core.Answer{Kind: failed, Reason: "delivered again, and may have run before this gateway started"})
 			return
 		}
 	}
@@ -164,16 +163,16 @@
 	f.core.Submit(call)
 }
 
-// call reads a call from a message.
-func (f *Front) call(p *Packet) (core.Call, error) {
-	u := &p.Props
-	raw := form.Raw{Function: u.Get("function"), ID: u.Get("id"), Class: u.Get("class"), Tenant: u.Get("tenant"),
-		Key: u.Get("key"), CostMs: u.Get("cost-ms"), Tags: u.Get("tags"), Retry: u.Get("retry")}
+// parseCall reads a call from a message.
+func (f *Front) parseCall(p *Packet) (core.Call, error) {
+	props := &p.Props
+	raw := form.Raw{Function: props.Get("function"), ID: props.Get("id"), Class: props.Get("class"), Tenant: props.Get("tenant"),
+		Key: props.Get("key"), CostMs: props.Get("cost-ms"), Tags: props.Get("tags"), Retry: props.Get("retry")}
 	if raw.ID == "" {
 		raw.ID = fmt.Sprintf("%016x", f.rng.Uint64())
 	}
-	if u.HasExpiry {
-		raw.WaitMs = strconv.FormatUint(uint64(u.Expiry)*1000, 10)
+	if props.HasExpiry {
+		raw.WaitMs = strconv.FormatUint(uint64(props.Expiry)*1000, 10)
 	} else if class, ok := f.site.Class(raw.Class); ok {
 		raw.WaitMs = strconv.FormatInt(f.site.Decide.Classes[class].Deadline.Milliseconds(), 10)
 	}
@@ -186,11 +185,11 @@
 	case len(p.Payload) > maxBody:
 		return call, fmt.Errorf("a body of more than %d bytes", maxBody)
 	}
-	call.Body, call.Received = p.Payload, p.Came
+	call.Body, call.Received = p.Payload, p.ReceivedAt
 	return call, nil
 }
 
-func (f *Front) record(call *core.Call) {
+func (f *Front) recordFailed(call *core.Call) {
 	if f.observe != nil {
 		f.observe(core.Record{Call: call, Start: f.loop.Now(), End: f.loop.Now(), Answer: failed})
 	}
--- a/internal/wire/mqtt/link.go
+++ b/internal/wire/mqtt/link.go
@@ -18,198 +18,199 @@
 // Prefix begins the names of workers that are reached by MQTT.
 const Prefix = "mqtt-"
 
-// Worker is a worker that subscribes to calls. It keeps its state, ready or draining, as a retained message on
-// StatusTopic, with gone as its last will.
+// Worker is a worker that subscribes to calls. It publishes its state, "ready" or "draining", as a retained message on
+// StatusTopic, and has "gone" as its last will there.
 type Worker struct {
 	Name, Topic, StatusTopic string
 	Zone, Cell               int
 	Weight                   float64
 }
 
-// Link sends calls to workers that subscribe at a broker, one QoS 1 message each. It belongs to the turn.
+// Link sends calls to workers that subscribe at a broker, one QoS 1 message each. It is used on the event loop only.
 //
-// Its session is clean: a session that is resumed would have to send again what was not acknowledged, though it
-// may have run. What is out when the connection is lost ends as reset instead.
+// Its session is clean: a resumed session would have to send unacknowledged messages again, although their calls may have run.
+// Attempts in flight when the connection is lost end as reset instead.
 type Link struct {
-	loop    *core.Loop
-	ends    core.ResultHandler
-	log     *zap.Logger
-	session *Session
-	tell    func(whole bool, members []core.Member)
-	replies string // topic of the answers
-	life    []byte // begins the correlation data, against answers to a former life of this gateway
-	workers map[string]*Worker
-	state   map[string]decide.HostState // of the workers told
-	since   map[string]time.Duration    // their last starts
-	open    map[core.Ref]*sending
+	loop        *core.Loop
+	ends        core.ResultHandler
+	log         *zap.Logger
+	session     *Session
+	onMembers   func(whole bool, members []core.Member)
+	replyTopic  string // topic on which workers answer
+	incarnation []byte // first 8 bytes of the correlation data; distinguishes answers to a previous process of this gateway
+	workers     map[string]*Worker
+	states      map[string]decide.HostState // by name, of the workers that have reported one
+	startedAt   map[string]time.Duration    // when each worker last reported that it is ready, unless by a retained message
+	inFlight    map[core.Ref]*inFlightAttempt
 }
 
-// sending is an attempt that is out.
-type sending struct {
+// inFlightAttempt is an attempt whose call was published or queued and not answered.
+type inFlightAttempt struct {
 	worker  string
 	pending *Pending
 }
 
-// NewLink returns a link to workers. tell takes the changes of their list, as that of the bulletin.
-func NewLink(loop *core.Loop, net sock.Dialer, opt Options, replies string, workers []Worker, seed uint64,
-	tell func(bool, []core.Member), log *zap.Logger) *Link {
-	l := &Link{loop: loop, log: log, tell: tell, replies: replies, workers: map[string]*Worker{},
-		life: binary.BigEndian.AppendUint64(nil, seed), state: map[string]decide.HostState{}, since: map[string]time.Duration{}, open: map[core.Ref]*sending{}}
-	opt.Clean, opt.Subscribe = true, []string{replies}
+// NewLink returns a link to workers. onMembers gets changes of the list of workers, in the same form as those of the bulletin.
+func NewLink(loop *core.Loop, net sock.Dialer, opts Options, replyTopic string, workers []Worker, seed uint64,
+	onMembers func(bool, []core.Member), log *zap.Logger) *Link {
+	l := &Link{loop: loop, log: log, onMembers: onMembers, replyTopic: replyTopic, workers: map[string]*Worker{},
+		incarnation: binary.BigEndian.AppendUint64(nil, seed), states: map[string]decide.HostState{},
+		startedAt: map[string]time.Duration{}, inFlight: map[core.Ref]*inFlightAttempt{}}
+	opts.CleanStart, opts.Subscribe = true, []string{replyTopic}
 	for _, w := range workers {
 		l.workers[w.Name] = &w
-		opt.Subscribe = append(opt.Subscribe, w.StatusTopic)
+		opts.Subscribe = append(opts.Subscribe, w.StatusTopic)
 	}
-	l.session = NewSession(loop, net, opt, l.receive, l.changed, log)
+	l.session = NewSession(loop, net, opts, l.receive, l.sessionChanged, log)
 	return l
 }
 
-// Serve says who takes the ends.
+// Serve sets the receiver of the ends of attempts.
 func (l *Link) Serve(e core.ResultHandler) { l.ends = e }
 
-// Connect begins.
+// Connect connects to the broker.
 func (l *Link) Connect() { l.session.Connect() }
 
-// Stop ends the session's connection.
+// Stop closes the session's connection for good.
 func (l *Link) Stop() { l.session.Stop() }
 
-// changed notes that the session has come up or gone down. Without it no worker can be reached.
-func (l *Link) changed(up bool) {
+// sessionChanged is called when the session becomes usable or unusable. Without it no worker can be reached.
+func (l *Link) sessionChanged(up bool) {
 	if up {
-		return // the retained states of the workers follow
+		return // the broker sends the retained states of the workers
 	}
 	var members []core.Member
-	for _, name := range slices.Sorted(maps.Keys(l.state)) {
+	for _, name := range slices.Sorted(maps.Keys(l.states)) {
 		members = append(members, l.member(l.workers[name], decide.Gone))
 	}
-	clear(l.state)
+	clear(l.states)
 	if len(members) > 0 {
-		l.tell(false, members)
+		l.onMembers(false, members)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(l.open)) {
+	for _, ref := range slices.Sorted(maps.Keys(l.inFlight)) {
 		l.end(ref, decide.Reset, decide.NoNote, nil)
 	}
 }
 
 func (l *Link) end(ref core.Ref, how decide.Outcome, note decide.Note, body []byte) {
-	if _, ok := l.open[ref]; ok {
-		delete(l.open, ref)
+	if _, ok := l.inFlight[ref]; ok {
+		delete(l.inFlight, ref)
 		l.ends.Ended(ref, core.AttemptResult{Outcome: how, Note: note, Body: body})
 	}
 }
 
 // Send publishes a call on its worker's topic.
 func (l *Link) Send(a core.Attempt) {
-	w := l.workers[a.Host]
-	if w == nil || !l.session.Up() {
+	worker := l.workers[a.Host]
+	if worker == nil || !l.session.Up() {
 		l.ends.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
 		return
 	}
-	s := &sending{worker: a.Host}
-	l.open[a.Ref] = s
-	c := a.Call
-	m := Message{Topic: w.Topic, Payload: c.Body, Props: Props{ResponseTopic: l.replies,
-		Correlation: binary.BigEndian.AppendUint64(slices.Clone(l.life), uint64(a.Ref)),
+	attempt := &inFlightAttempt{worker: a.Host}
+	l.inFlight[a.Ref] = attempt
+	call := a.Call
+	message := Message{Topic: worker.Topic, Payload: call.Body, Props: Props{ResponseTopic: l.replyTopic,
+		Correlation: binary.BigEndian.AppendUint64(slices.Clone(l.incarnation), uint64(a.Ref)),
 		HasExpiry:   true}}
-	fields := []Pair{{"id", c.ID}, {"class", c.ClassName}, {"function", c.Function}}
-	if c.Key != "" {
-		fields = append(fields, Pair{"key", c.Key})
+	fields := []Pair{{"id", call.ID}, {"class", call.ClassName}, {"function", call.Function}}
+	if call.Key != "" {
+		fields = append(fields, Pair{"key", call.Key})
 	}
-	current := func(m *Message) bool {
+	refresh := func(message *Message) bool {
 		budget := a.Budget(l.loop)
-		m.Props.Expiry = uint32(max(0, budget+time.Second-1) / time.Second)
-		m.Props.User = append(fields[:len(fields):len(fields)], Pair{"budget-ms", strconv.FormatInt(budget.Milliseconds(), 10)})
+		message.Props.Expiry = uint32(max(0, budget+time.Second-1) / time.Second)
+		message.Props.User = append(fields[:len(fields):len(fields)], Pair{"budget-ms", strconv.FormatInt(budget.Milliseconds(), 10)})
 		return budget >= time.Millisecond
 	}
-	s.pending = l.session.PublishCurrent(m, current, func(reason byte, err error) {
-		if err == nil && reason != NoSubscribers && reason < failureReasons {
-			l.ends.Wrote(1) // the broker has it, and somebody to give it to
+	attempt.pending = l.session.PublishRefreshed(message, refresh, func(reason byte, err error) {
+		if err == nil && reason != NoSubscribers && reason < firstFailure {
+			l.ends.Wrote(1) // the broker has it, and a subscriber to deliver it to
 		}
 		switch {
-		case err == errLost: // the state of the session ends all that is open
+		case err == errLost: // sessionChanged ends all attempts in flight
 		case err != nil:
 			l.end(a.Ref, decide.Nop, decide.NoNote, nil)
-		case reason == NoSubscribers, reason >= failureReasons: // nobody got it
+		case reason == NoSubscribers, reason >= firstFailure: // it was delivered to nobody
 			l.end(a.Ref, decide.NoConn, decide.NoNote, nil)
 		}
 	})
 }
 
-// Cancel gives an attempt up and tells the worker so, which may disregard it.
+// Cancel gives an attempt up and publishes that on the worker's cancel topic. The worker may ignore it.
 func (l *Link) Cancel(host string, ref core.Ref) {
-	s, ok := l.open[ref]
+	attempt, ok := l.inFlight[ref]
 	if !ok {
 		return
 	}
-	delete(l.open, ref)
-	if w := l.workers[host]; w != nil && !l.session.Withdraw(s.pending) {
-		l.session.Send(Message{Topic: w.Topic + "/cancel", Props: Props{
-			Correlation: binary.BigEndian.AppendUint64(slices.Clone(l.life), uint64(ref))}})
+	delete(l.inFlight, ref)
+	if worker := l.workers[host]; worker != nil && !l.session.Withdraw(attempt.pending) {
+		l.session.Send(Message{Topic: worker.Topic + "/cancel", Props: Props{
+			Correlation: binary.BigEndian.AppendUint64(slices.Clone(l.incarnation), uint64(ref))}})
 	}
 }
 
-// WithdrawAttempt takes an attempt back that has not been published yet.
+// WithdrawAttempt withdraws an attempt whose call has not been published yet, and reports whether it could.
 func (l *Link) WithdrawAttempt(_ string, ref core.Ref) bool {
-	s, ok := l.open[ref]
-	if !ok || !l.session.Withdraw(s.pending) {
+	attempt, ok := l.inFlight[ref]
+	if !ok || !l.session.Withdraw(attempt.pending) {
 		return false
 	}
-	delete(l.open, ref)
+	delete(l.inFlight, ref)
 	return true
 }
 
-// WithdrawUnwritten takes back the calls that have not been published yet to workers that may get nothing new.
+// WithdrawUnwritten ends attempts whose calls have not been published yet if their worker may get nothing new.
 func (l *Link) WithdrawUnwritten(mayGet func(worker string) bool) {
-	for _, ref := range slices.Sorted(maps.Keys(l.open)) {
-		if s := l.open[ref]; !mayGet(s.worker) && l.session.Withdraw(s.pending) {
+	for _, ref := range slices.Sorted(maps.Keys(l.inFlight)) {
+		if s := l.inFlight[ref]; !mayGet(s.worker) && l.session.Withdraw(s.pending) {
 			l.end(ref, decide.Nop, decide.NoNote, nil)
 		}
 	}
 }
 
-var outcomes = map[string]decide.Outcome{"ok": decide.Good, "miss": decide.Miss, "busy": decide.Full,
+var outcomeByText = map[string]decide.Outcome{"ok": decide.Good, "miss": decide.Miss, "busy": decide.Full,
 	"error": decide.Bad, "void": decide.Nop}
 
-var notes = map[string]decide.Note{"warm": decide.FoundWarm, "cold": decide.BeganLoad, "joined": decide.WaitedLoad,
+var noteByText = map[string]decide.Note{"warm": decide.FoundWarm, "cold": decide.BeganLoad, "joined": decide.WaitedLoad,
 	"load_failed": decide.LoadFailed}
 
 func (l *Link) receive(p *Packet, receipt Receipt) {
 	receipt.Ack()
-	if p.Topic == l.replies {
-		corr := p.Props.Correlation
-		how, known := outcomes[p.Props.Get("outcome")]
-		if len(corr) != 16 || !bytes.HasPrefix(corr, l.life) {
-			l.log.Info("answer to another life of this gateway")
+	if p.Topic == l.replyTopic {
+		correlation := p.Props.Correlation
+		how, known := outcomeByText[p.Props.Get("outcome")]
+		if len(correlation) != 16 || !bytes.HasPrefix(correlation, l.incarnation) {
+			l.log.Info("answer to a previous incarnation of this gateway")
 			return
 		}
-		if !known { // of no use, but the worker is done with it
+		if !known { // the answer is unusable, but the worker has finished the call
 			l.log.Warn("answer that can't be read", zap.String("outcome", p.Props.Get("outcome")))
 			how = decide.Reset
 		}
-		l.end(core.Ref(binary.BigEndian.Uint64(corr[8:])), how, notes[p.Props.Get("detail")], p.Payload)
+		l.end(core.Ref(binary.BigEndian.Uint64(correlation[8:])), how, noteByText[p.Props.Get("detail")], p.Payload)
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
 		if w := l.workers[name]; w.StatusTopic == p.Topic {
-			l.status(w, string(p.Payload), p.Retained())
+			l.handleStatus(w, string(p.Payload), p.Retained())
 		}
 	}
 }
 
-// Load is not spoken here: workers load what they lack when it is called.
+// Load reports an overloaded worker: there are no load orders over MQTT. Workers load what they lack when it is called.
 func (l *Link) Load(ref core.Ref, _, _ string, _ int) { l.ends.Loaded(ref, decide.Full, 0) }
 
-// Probe is not spoken here either: a worker that is lost has its last will published.
+// Probe reports no result: there are no probes over MQTT. For a worker that is lost, the broker publishes its last will.
 func (l *Link) Probe(ref core.Ref, _ string) { l.ends.Probed(ref, decide.Nop, nil) }
 
-// Forget has nothing to forget: orders and probes are not spoken here.
+// Forget does nothing, since there are no load orders and probes over MQTT.
 func (l *Link) Forget(string, core.Ref) {}
 
-// Unload is not spoken here.
+// Unload does nothing, since there are no load orders over MQTT.
 func (l *Link) Unload(string, string) {}
 
-// Release has nothing to release: the session is one for all workers.
+// Release does nothing, since all workers share one session.
 func (l *Link) Release(string) {}
 
-// ApplyList is not needed: the workers are named in the file.
+// ApplyList does nothing, since the workers are listed in the configuration.
 func (l *Link) ApplyList(bool, []core.Member) {}
--- a/internal/wire/mqtt/mqtt_test.go
+++ b/internal/wire/mqtt/mqtt_test.go
@@ -6,136 +6,136 @@
 )
 
 func TestCallIsServedOverMQTT(t *testing.T) {
-	s := newStage(t)
-	s.publish("command", "k1", "c1", 3)
-	s.ran("k1", 1)
-	s.want("outcome c1", "served")
-	s.want("record k1", "served")
+	gw := newTestGateway(t)
+	gw.publish("command", "k1", "c1", 3)
+	gw.wantRuns("k1", 1)
+	gw.wantRecords("outcome c1", "served")
+	gw.wantRecords("record k1", "served")
 }
 
-// A drained gateway refuses what is new and counts it, answers what it knows, goes on with what is open, and fails what
-// may have run before it was started; resumed, it takes the same call.
+// A drained gateway refuses and counts new calls, answers known ones, finishes those in flight, and fails redelivered calls that
+// may have run before it started. After resume it takes the refused call.
 func TestDrainOverMQTT(t *testing.T) {
-	s := newStage(t)
-	s.publish("command", "k1", "c1", 3)
-	s.mute = true
-	s.publish("command", "k2", "c2", 3)
-	s.front.Drain()
-	s.publish("command", "k1", "c1", 3)
-	s.publish("command", "k3", "c3", 3)
-	s.reply(s.byID["k2"], "ok")
-	s.Run()
-	s.want("outcome c1", "served", "served")
-	s.want("outcome c2", "served")
-	s.want("outcome c3", "refused")
-	s.ran("k3", 0)
-	if f := s.core.Metrics(); f.Classes[1].Shed != 1 || f.Classes[1].OK != 2 || f.Active != 0 {
-		t.Errorf("figures %+v", f)
+	gw := newTestGateway(t)
+	gw.publish("command", "k1", "c1", 3)
+	gw.workerSilent = true
+	gw.publish("command", "k2", "c2", 3)
+	gw.front.Drain()
+	gw.publish("command", "k1", "c1", 3)
+	gw.publish("command", "k3", "c3", 3)
+	gw.replyAsWorker(gw.byKey["k2"], "ok")
+	gw.Run()
+	gw.wantRecords("outcome c1", "served", "served")
+	gw.wantRecords("outcome c2", "served")
+	gw.wantRecords("outcome c3", "refused")
+	gw.wantRuns("k3", 0)
+	if f := gw.core.Metrics(); f.Classes[1].Shed != 1 || f.Classes[1].OK != 2 || f.Active != 0 {
+		t.Errorf("statistics %+v", f)
 	}
-	s.front.Resume()
-	s.mute = false
-	s.publish("command", "k3", "c3", 3)
-	s.want("outcome c3", "refused", "served")
-	s.ran("k3", 1)
+	gw.front.Resume()
+	gw.workerSilent = false
+	gw.publish("command", "k3", "c3", 3)
+	gw.wantRecords("outcome c3", "refused", "served")
+	gw.wantRuns("k3", 1)
 }
 
-// A dropped session has the broker deliver a keyed call again, after its answer and while it is open.
+// When a client's session is lost, the broker delivers a keyed call again: once after its answer and once while it is in flight.
 func TestRedeliveryDoesNotRunAgain(t *testing.T) {
-	s := newStage(t)
-	s.calls.holdAcks = true
-	s.publish("command", "k1", "c1", 3)
-	s.calls.cut("gw")
-	s.Pass(time.Second) // the session is resumed, and k1 comes again
-	s.ran("k1", 1)
-	s.want("outcome c1", "served", "served")
-	s.mute = true
-	s.publish("command", "k2", "c2", 3)
-	s.calls.redeliver("gw") // joins the open call
-	s.Run()
-	s.ran("k2", 1)
-	s.want("outcome c2")
-	s.reply(s.byID["k2"], "ok")
-	s.Run()
-	s.want("record k2", "served")
-	s.ran("k2", 1)
+	gw := newTestGateway(t)
+	gw.callBroker.dropAcks = true
+	gw.publish("command", "k1", "c1", 3)
+	gw.callBroker.disconnect("gw")
+	gw.Advance(time.Second) // the session is resumed, and k1 is delivered again
+	gw.wantRuns("k1", 1)
+	gw.wantRecords("outcome c1", "served", "served")
+	gw.workerSilent = true
+	gw.publish("command", "k2", "c2", 3)
+	gw.callBroker.redeliver("gw") // joins the call in flight
+	gw.Run()
+	gw.wantRuns("k2", 1)
+	gw.wantRecords("outcome c2")
+	gw.replyAsWorker(gw.byKey["k2"], "ok")
+	gw.Run()
+	gw.wantRecords("record k2", "served")
+	gw.wantRuns("k2", 1)
 }
 
-// The gateway dies with a keyed call out. The call was acknowledged before it was sent on, unless the
-// acknowledgement was lost; then the new life must not run it.
-func TestRestartedGatewayFailsWhatMayHaveRun(t *testing.T) {
+// A gateway dies with a keyed call in flight. The call was acknowledged before its first attempt. If that acknowledgement is lost,
+// the call is delivered again, and the next process must not run it.
+func TestRestartedGatewayFailsRedeliveredCall(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		s := newStage(t)
-		s.mute, s.calls.holdAcks = true, lost
-		s.publish("command", "k1", "c1", 3)
-		s.kill()
-		s.calls.holdAcks = false
-		s.start()
-		s.Pass(5 * time.Second)
-		s.ran("k1", 1)
+		gw := newTestGateway(t)
+		gw.workerSilent, gw.callBroker.dropAcks = true, lost
+		gw.publish("command", "k1", "c1", 3)
+		gw.kill()
+		gw.callBroker.dropAcks = false
+		gw.start()
+		gw.Advance(5 * time.Second)
+		gw.wantRuns("k1", 1)
 		if lost {
-			s.want("outcome c1", "failed")
-			s.want("record k1", "failed")
+			gw.wantRecords("outcome c1", "failed")
+			gw.wantRecords("record k1", "failed")
 		} else {
-			s.want("outcome c1")
+			gw.wantRecords("outcome c1")
 		}
-		s.mute = false
-		s.publish("command", "k2", "c2", 3) // new keys are served as ever
-		s.want("outcome c2", "served")
+		gw.workerSilent = false
+		gw.publish("command", "k2", "c2", 3) // new keys are served as before
+		gw.wantRecords("outcome c2", "served")
 	}
 }
 
-// The acknowledgement leaves before the first attempt does, or a gateway that dies between them would have the
-// broker deliver again what runs already.
-func TestKeyedCallIsAcknowledgedBeforeItGoesOut(t *testing.T) {
-	s := newStage(t)
+// The acknowledgement is sent before the first attempt. Otherwise the broker would deliver a call that already runs again after the
+// gateway died between the two.
+func TestKeyedCallIsAcknowledgedBeforeFirstAttempt(t *testing.T) {
+	gw := newTestGateway(t)
 	acked := -1
-	work := s.worker.got
-	s.worker.got = func(p *Packet) {
+	runCall := gw.worker.onPublish
+	gw.worker.onPublish = func(p *Packet) {
 		if p.Type == Publish && acked < 0 {
-			acked = len(s.calls.sessions["gw"].out)
+			acked = len(gw.callBroker.sessions["gw"].unacked)
 		}
-		work(p)
+		runCall(p)
 	}
-	s.publish("command", "k1", "c1", 3)
+	gw.publish("command", "k1", "c1", 3)
 	if acked != 0 {
 		t.Errorf("%d messages unacknowledged when the worker got the call", acked)
 	}
 }
 
-// A safe call is kept by the broker until its outcome: a gateway that dies is followed by one that runs it.
-func TestSafeCallOutlivesAGateway(t *testing.T) {
-	s := newStage(t)
-	s.mute = true
-	s.publish("read", "", "c1", 3)
-	s.kill()
-	s.mute = false
-	s.start()
-	s.Pass(time.Second)
-	s.want("outcome c1", "served")
+// The broker stores a safe call until its outcome. If a gateway dies, the next one runs the call.
+func TestSafeCallSurvivesGatewayRestart(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.workerSilent = true
+	gw.publish("read", "", "c1", 3)
+	gw.kill()
+	gw.workerSilent = false
+	gw.start()
+	gw.Advance(time.Second)
+	gw.wantRecords("outcome c1", "served")
 }
 
-// Messages that can't be calls are failed and acknowledged, and never reach a worker; a refusal says when to
-// come back, and the same key may then come again.
+// Messages that can't be read as calls are failed and acknowledged, and never reach a worker. A refusal carries the time to wait, and
+// the same key may then be sent again.
 func TestBadCallsAndRefusals(t *testing.T) {
-	s := newStage(t)
-	s.publish("nonsense", "k1", "c1", 2)
-	s.want("outcome c1", "failed")
-	s.publish("command", "", "c2", 2)
-	s.want("outcome c2", "failed")
-	if len(s.runs) > 0 || len(s.calls.sessions["gw"].out) > 0 {
-		t.Errorf("runs %v, unacknowledged %d", s.runs, len(s.calls.sessions["gw"].out))
+	gw := newTestGateway(t)
+	gw.publish("nonsense", "k1", "c1", 2)
+	gw.wantRecords("outcome c1", "failed")
+	gw.publish("command", "", "c2", 2)
+	gw.wantRecords("outcome c2", "failed")
+	if len(gw.runs) > 0 || len(gw.callBroker.sessions["gw"].unacked) > 0 {
+		t.Errorf("runs %v, unacknowledged %d", gw.runs, len(gw.callBroker.sessions["gw"].unacked))
 	}
-	s.jobs.publish(Message{Topic: "w1/status", Payload: []byte("draining")})
-	s.Run()
-	s.publish("command", "k3", "c3", 2)
-	s.Pass(3 * time.Second)
-	s.want("outcome c3", "refused")
-	s.jobs.publish(Message{Topic: "w1/status", Payload: []byte("ready")})
-	s.Pass(20 * time.Second)
-	s.publish("command", "k3", "c3", 2)
-	s.ran("k3", 1)
-	s.want("outcome c3", "refused", "served")
-	s.publish("read", "k3", "c4", 2)
-	s.publish("command", "k3", "c5", 2)
-	s.want("outcome c5", "served")
+	gw.workerBroker.publish(Message{Topic: "w1/status", Payload: []byte("draining")})
+	gw.Run()
+	gw.publish("command", "k3", "c3", 2)
+	gw.Advance(3 * time.Second)
+	gw.wantRecords("outcome c3", "refused")
+	gw.workerBroker.publish(Message{Topic: "w1/status", Payload: []byte("ready")})
+	gw.Advance(20 * time.Second)
+	gw.publish("command", "k3", "c3", 2)
+	gw.wantRuns("k3", 1)
+	gw.wantRecords("outcome c3", "refused", "served")
+	gw.publish("read", "k3", "c4", 2)
+	gw.publish("command", "k3", "c5", 2)
+	gw.wantRecords("outcome c5", "served")
 }
--- a/internal/wire/mqtt/never_twice_test.go
+++ b/internal/wire/mqtt/never_twice_test.go
@@ -10,98 +10,98 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// Calls that must not run twice, between brokers that break connections and deliver again, a worker that errs, is
-// silent, leaves and comes back, and a gateway that is killed and started anew. With the guard taken out, that is with
-// the class told as one that may be repeated, the same play runs some of them twice.
+// Calls of an unsafe class must not run twice. The brokers break connections and deliver again, the worker fails, is silent, leaves
+// and returns, and the gateway is killed and restarted. Without the guard, that is with the class configured as safe, the same runs
+// execute some calls twice, which shows that the test can detect it.
 func TestNeverTwiceOverMQTT(t *testing.T) {
-	play := func(seed uint64, effect decide.Effect) (twice, ran int) {
+	simulate := func(seed uint64, effect decide.Effect) (twice, ran int) {
 		site := wiretest.Site()
 		site.Classes = append(site.Classes, "once")
 		site.Decide.Classes = append(site.Decide.Classes, decide.Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 5, Effect: effect})
-		s, rng := newStageAt(t, site), rand.New(rand.NewPCG(seed, 4))
-		s.worker.got = func(p *Packet) {
-			if s.mute = rng.IntN(3) == 0; p.Type == Publish && p.Topic == "w1/calls" && !s.mute {
-				if word := []string{"busy", "miss", "error", "ok", "ok", "ok"}[rng.IntN(6)]; word != "ok" {
-					if s.reply(p, word); word == "error" {
-						s.runs[string(p.Payload)]++
+		gw, rng := newTestGatewayAt(t, site), rand.New(rand.NewPCG(seed, 4))
+		gw.worker.onPublish = func(p *Packet) {
+			if gw.workerSilent = rng.IntN(3) == 0; p.Type == Publish && p.Topic == "w1/calls" && !gw.workerSilent {
+				if outcome := []string{"busy", "miss", "error", "ok", "ok", "ok"}[rng.IntN(6)]; outcome != "ok" {
+					if gw.replyAsWorker(p, outcome); outcome == "error" {
+						gw.runs[string(p.Payload)]++
 					}
 					return
 				}
 			}
-			s.work(p)
+			gw.runCall(p)
 		}
 		for n := range 150 {
 			m := Message{Topic: "call/lift", Payload: fmt.Append(nil, "once ", n), Props: Props{ResponseTopic: "back/client",
 				Correlation: fmt.Append(nil, n), Expiry: 3, HasExpiry: true, User: []Pair{{"class", "once"}, {"tenant", "a"}, {"function", fn}}}}
-			s.client.next++
-			s.client.conn.Write(AppendPublish(nil, &m, s.client.next, 0))
-			s.Run()
+			gw.client.lastID++
+			gw.client.conn.Write(AppendPublish(nil, &m, gw.client.lastID, 0))
+			gw.Run()
 			switch k := rng.IntN(24); k {
 			case 0, 1:
-				s.calls.cut("gw")
+				gw.callBroker.disconnect("gw")
 			case 2, 3:
-				s.jobs.cut("gw")
+				gw.workerBroker.disconnect("gw")
 			case 4, 5:
-				s.calls.redeliver("gw")
+				gw.callBroker.redeliver("gw")
 			case 6:
-				s.kill()
-				s.start()
+				gw.kill()
+				gw.start()
 			case 7, 8:
-				s.jobs.publish(Message{Topic: "w1/status", Payload: []byte([]string{"gone", "ready"}[k-7])})
+				gw.workerBroker.publish(Message{Topic: "w1/status", Payload: []byte([]string{"gone", "ready"}[k-7])})
 			case 9, 10:
-				s.calls.holdAcks = k == 9
+				gw.callBroker.dropAcks = k == 9
 			}
-			s.Pass(time.Duration(rng.IntN(400)) * time.Millisecond)
+			gw.Advance(time.Duration(rng.IntN(400)) * time.Millisecond)
 		}
-		s.Pass(10 * time.Second)
-		for _, n := range s.runs {
+		gw.Advance(10 * time.Second)
+		for _, n := range gw.runs {
 			if ran += n; n > 1 {
 				twice++
 			}
 		}
 		return twice, ran
 	}
-	without := 0
+	twiceWithoutGuard := 0
 	for seed := range uint64(12) {
-		if twice, ran := play(seed, decide.Unsafe); twice > 0 || ran < 20 {
-			t.Errorf("seed %d: %d of %d ran twice", seed, twice, ran)
+		if twice, ran := simulate(seed, decide.Unsafe); twice > 0 || ran < 20 {
+			t.Errorf("seed %d: %d calls ran twice, of %d executions", seed, twice, ran)
 		}
-		twice, _ := play(seed, decide.Safe)
-		without += twice
+		twice, _ := simulate(seed, decide.Safe)
+		twiceWithoutGuard += twice
 	}
-	t.Logf("figures: seeds=12 twice=0 twice_without_guard=%d", without)
-	if without < 12 {
-		t.Errorf("without the guard only %d ran twice", without)
+	t.Logf("figures: seeds=12 twice=0 twice_without_guard=%d", twiceWithoutGuard)
+	if twiceWithoutGuard < 12 {
+		t.Errorf("without the guard only %d calls ran twice, want at least 12", twiceWithoutGuard)
 	}
 }
 
-// A client that vanishes, a worker that vanishes, a worker that never answers: one recorded outcome each.
+// A client that leaves, a worker that leaves and a worker that never answers: each call has exactly one recorded outcome.
 func TestVanishedSubscribersStillGiveOneOutcome(t *testing.T) {
-	s := newStage(t)
-	s.mute = true
-	s.publish("command", "k1", "c1", 2)
-	s.client.conn.Close()
-	s.Run()
-	s.reply(s.byID["k1"], "ok")
-	s.Pass(3 * time.Second)
-	s.want("record k1", "served")
+	gw := newTestGateway(t)
+	gw.workerSilent = true
+	gw.publish("command", "k1", "c1", 2)
+	gw.client.conn.Close()
+	gw.Run()
+	gw.replyAsWorker(gw.byKey["k1"], "ok")
+	gw.Advance(3 * time.Second)
+	gw.wantRecords("record k1", "served")
 
-	s.client = s.join(s.calls, "client", func(p *Packet) {
-		s.records["outcome "+string(p.Props.Correlation)] = []string{p.Props.Get("outcome")}
+	gw.client = gw.connectClient(gw.callBroker, "client", func(p *Packet) {
+		gw.records["outcome "+string(p.Props.Correlation)] = []string{p.Props.Get("outcome")}
 	}, "back/#")
-	s.publish("command", "k2", "c2", 2)
-	s.jobs.publish(Message{Topic: "w1/status", Payload: []byte("gone")}) // its last will
-	s.Pass(3 * time.Second)
-	s.ran("k2", 1)
-	s.want("record k2", "failed")
+	gw.publish("command", "k2", "c2", 2)
+	gw.workerBroker.publish(Message{Topic: "w1/status", Payload: []byte("gone")}) // the worker's last will
+	gw.Advance(3 * time.Second)
+	gw.wantRuns("k2", 1)
+	gw.wantRecords("record k2", "failed")
 
-	s.jobs.publish(Message{Topic: "w1/status", Payload: []byte("ready")})
-	s.Pass(20 * time.Second) // warm again
-	s.publish("command", "k3", "c3", 2)
-	s.Pass(3 * time.Second)
-	s.want("record k3", "failed")
-	s.want("outcome c3", "failed")
-	s.reply(s.byID["k3"], "ok") // too late
-	s.Run()
-	s.want("record k3", "failed")
+	gw.workerBroker.publish(Message{Topic: "w1/status", Payload: []byte("ready")})
+	gw.Advance(20 * time.Second) // until the worker counts as warm again
+	gw.publish("command", "k3", "c3", 2)
+	gw.Advance(3 * time.Second)
+	gw.wantRecords("record k3", "failed")
+	gw.wantRecords("outcome c3", "failed")
+	gw.replyAsWorker(gw.byKey["k3"], "ok") // too late
+	gw.Run()
+	gw.wantRecords("record k3", "failed")
 }
--- a/internal/wire/mqtt/packet.go
+++ b/internal/wire/mqtt/packet.go
@@ -1,5 +1,5 @@
-// Package mqtt is the second front: calls that come as MQTT 5 messages, and calls sent on as such to workers
-// that subscribe. It follows the OASIS standard "MQTT Version 5.0", as far as a client with QoS 0 and 1 needs.
+// Package mqtt is the second front: it takes calls that arrive as MQTT 5 messages, and sends calls to workers that subscribe to
+// them. It follows the OASIS standard "MQTT Version 5.0", as far as a client with QoS 0 and 1 needs.
 package mqtt
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The types of packet that are spoken here.
+// Packet types that this package reads or writes.
 const (
 	Connect    = 1
 	Connack    = 2
@@ -21,33 +21,47 @@
 	Disconnect = 14
 )
 
-// The reason codes that mean something here.
+// Reason codes that this package distinguishes.
 const (
-	Success        = 0x00
-	NoSubscribers  = 0x10 // of a PUBACK: nobody got the message
-	Malformed      = 0x81
-	ProtocolError  = 0x82
-	failureReasons = 0x80 // and above
+	Success       = 0x00
+	NoSubscribers = 0x10 // of a PUBACK: the message was delivered to nobody
+	Malformed     = 0x81
+	ProtocolError = 0x82
+	firstFailure  = 0x80 // all codes from here on are failures
 )
 
-// maxPacket bounds a packet; the broker is told of it.
+// Identifiers of the properties that this package uses.
+const (
+	propMessageExpiry   = 0x02
+	propResponseTopic   = 0x08
+	propCorrelation     = 0x09
+	propSubscriptionID  = 0x0b
+	propSessionExpiry   = 0x11
+	propServerKeepAlive = 0x13
+	propReasonString    = 0x1f
+	propReceiveMax      = 0x21
+	propUser            = 0x26
+	propMaxPacket       = 0x27
+)
+
+// maxPacket is the largest packet that is accepted, in bytes. It is sent to the broker in CONNECT.
 const maxPacket = 64 << 10
 
 // Pair is one user property.
 type Pair struct{ Name, Value string }
 
-// Props are the properties that mean something here; the others are checked for their form and passed over.
+// Props are the properties that this package uses; all others are checked for their form and ignored.
 type Props struct {
 	Expiry        uint32 // of a message, in seconds
 	HasExpiry     bool
 	ResponseTopic string
 	Correlation   []byte
 	User          []Pair
-	SessionExpiry uint32
-	KeepAlive     uint16 // as the server wants it, with HasKeepAlive
+	SessionExpiry uint32 // in seconds
+	KeepAlive     uint16 // in seconds, as the server requires it; valid with HasKeepAlive
 	HasKeepAlive  bool
-	ReceiveMax    uint16 // 0 where not told
-	MaxPacket     uint32 // 0 where not told
+	ReceiveMax    uint16 // 0 if absent
+	MaxPacket     uint32 // 0 if absent
 	Reason        string
 }
 
@@ -61,30 +75,33 @@
 	return ""
 }
 
-// Packet is one packet as read. The fields that its type lacks are zero.
+// Packet is a packet as read. Fields that its type does not have are zero.
 type Packet struct {
-	Type    byte
-	Flags   byte
-	ID      uint16
-	Reasons []byte // one of CONNACK, PUBACK and DISCONNECT, one a filter of SUBACK
-	Present bool   // CONNACK: the server has kept the session
-	Topic   string
-	Payload []byte
-	Props   Props
-	Came    time.Duration // when it was read, on the loop's clock
-	Rest    []byte        // of the types that only a server reads: all that follows the fixed header
+	Type           byte
+	Flags          byte
+	ID             uint16
+	Reasons        []byte // CONNACK, PUBACK and DISCONNECT: one; SUBACK: one per filter
+	SessionPresent bool   // CONNACK: the server has stored the session
+	Topic          string
+	Payload        []byte
+	Props          Props
+	ReceivedAt     time.Duration // when it was read, on the event loop's clock
+	Body           []byte        // CONNECT and SUBSCRIBE, which only a server reads: all that follows the fixed header
 }
 
 // QoS is the quality of service of a PUBLISH.
 func (p *Packet) QoS() byte { return p.Flags >> 1 & 3 }
 
-// Dup reports whether a PUBLISH may have been delivered before.
-func (p *Packet) Dup() bool { return p.Flags&8 != 0 }
+// dupFlag marks a PUBLISH that may have been delivered before.
+const dupFlag = 8
+
+// Dup reports whether a PUBLISH is marked as possibly delivered before.
+func (p *Packet) Dup() bool { return p.Flags&dupFlag != 0 }
 
-// Retained reports whether a PUBLISH was kept by the broker from before the subscription.
+// Retained reports whether a PUBLISH is a retained message, sent because of a new subscription.
 func (p *Packet) Retained() bool { return p.Flags&1 != 0 }
 
-// ErrMalformed is the error of all that the standard calls malformed.
+// ErrMalformed is wrapped by the errors of all packets that the standard calls malformed.
 var ErrMalformed = errors.New("malformed packet")
 
 func malformed(what string) error { return fmt.Errorf("%w: %s", ErrMalformed, what) }
--- a/internal/wire/mqtt/publish.go
+++ b/internal/wire/mqtt/publish.go
@@ -6,20 +6,20 @@
 	"go.uber.org/zap"
 )
 
-// Pending is a message that waits to be sent or acknowledged.
+// Pending is a queued message: it waits to be sent or to be acknowledged.
 type Pending struct {
-	m    Message
-	now  func(*Message) bool // brings m up to date as it is sent; false if it is of no use any more; may be nil
-	id   uint16
-	size int
-	dup  bool
-	done func(reason byte, err error)
+	message Message
+	refresh func(*Message) bool // updates message when it is sent; false if it is no longer useful; may be nil
+	id      uint16
+	size    int
+	dup     bool
+	done    func(reason byte, err error)
 }
 
-// Waiting is the number of messages that wait to be sent or acknowledged.
+// Waiting is the number of queued messages.
 func (s *Session) Waiting() int { return len(s.queue) }
 
-// nextID is a packet id that no message has.
+// nextID returns a packet id that no queued message has.
 func (s *Session) nextID() uint16 {
 	for {
 		if s.packetID++; s.packetID == 0 {
@@ -35,31 +35,31 @@
 	}
 }
 
-// Publish sends a message with QoS 1, when the session is up and the broker takes more. done is called once,
-// with the broker's reason or an error; never from within Publish. The message may be withdrawn until then.
+// Publish queues a message with QoS 1. It is sent when the session is up and the broker accepts more. done is called once, with
+// the broker's reason code or an error, and never from within Publish. Until the message is sent it can be withdrawn.
 func (s *Session) Publish(m Message, done func(reason byte, err error)) *Pending {
-	return s.PublishCurrent(m, nil, done)
+	return s.PublishRefreshed(m, nil, done)
 }
 
-// PublishCurrent is Publish of a message that now brings up to date at the moment when it is sent, however long it has waited
-// for that. Where now says that it is of no use any more, it is not sent.
-func (s *Session) PublishCurrent(m Message, now func(*Message) bool, done func(reason byte, err error)) *Pending {
-	o := &Pending{m: m, now: now, done: done, size: len(m.Topic) + len(m.Payload) + 64}
-	if len(s.queue) >= maxOutgoing || s.bytes+o.size > maxWaiting || s.stopped {
+// PublishRefreshed is Publish of a message that refresh updates when it is sent, however long it has waited. If refresh returns
+// false, the message is no longer useful and is not sent.
+func (s *Session) PublishRefreshed(m Message, refresh func(*Message) bool, done func(reason byte, err error)) *Pending {
+	pending := &Pending{message: m, refresh: refresh, done: done, size: len(m.Topic) + len(m.Payload) + 64}
+	if len(s.queue) >= maxQueued || s.queuedBytes+pending.size > maxQueuedBytes || s.stopped {
 		s.loop.After(0, func() { done(0, errFull) })
-		return o
+		return pending
 	}
-	o.id = s.nextID()
-	s.bytes += o.size
-	s.queue = append(s.queue, o)
-	s.pump()
-	return o
+	pending.id = s.nextID()
+	s.queuedBytes += pending.size
+	s.queue = append(s.queue, pending)
+	s.sendQueued()
+	return pending
 }
 
-// Withdraw takes back a message that has not been sent yet, and reports whether it could. Its done is not called.
-func (s *Session) Withdraw(o *Pending) bool {
+// Withdraw removes a message that has not been sent yet, and reports whether it could. done is not called for it.
+func (s *Session) Withdraw(pending *Pending) bool {
 	for i := s.sent; i < len(s.queue); i++ {
-		if s.queue[i] == o {
+		if s.queue[i] == pending {
 			s.remove(i)
 			return true
 		}
@@ -74,22 +74,25 @@
 	}
 }
 
-func (s *Session) pump() {
-	for s.up && s.sent < len(s.queue) && s.sent < s.limit && s.conn.Unsent() == 0 { // else when the broker has taken it
-		o := s.queue[s.sent]
-		if o.now != nil && !o.now(&o.m) {
+// sendQueued sends queued messages until the window is full or the broker reads no further. Flushed continues it.
+func (s *Session) sendQueued() {
+	for s.up && s.sent < len(s.queue) && s.sent < s.maxInFlight && s.conn.Unsent() == 0 {
+		pending := s.queue[s.sent]
+		if pending.refresh != nil && !pending.refresh(&pending.message) {
 			s.remove(s.sent)
-			s.loop.After(0, func() { o.done(0, errExpired) })
+			s.loop.After(0, func() { pending.done(0, errExpired) })
 			continue
 		}
 		flags := byte(0)
-		if o.dup {
-			flags = 8
+		if pending.dup {
+			flags = dupFlag
 		}
-		b := AppendPublish(nil, &o.m, o.id, flags)
-		if len(b) > s.largest {
+		b := AppendPublish(nil, &pending.message, pending.id, flags)
+		if len(b) > s.maxPacketSize {
 			s.remove(s.sent)
-			s.loop.After(0, func() { o.done(0, fmt.Errorf("message of %d bytes, the broker takes %d", len(b), s.largest)) })
+			s.loop.After(0, func() {
+				pending.done(0, fmt.Errorf("message of %d bytes exceeds the broker's limit of %d", len(b), s.maxPacketSize))
+			})
 			continue
 		}
 		s.write(b)
@@ -98,19 +101,19 @@
 }
 
 func (s *Session) remove(i int) {
-	s.bytes -= s.queue[i].size
+	s.queuedBytes -= s.queue[i].size
 	s.queue = append(s.queue[:i], s.queue[i+1:]...)
 }
 
-func (s *Session) acked(p *Packet) {
-	for i, o := range s.queue[:s.sent] {
-		if o.id == p.ID {
+func (s *Session) handlePuback(p *Packet) {
+	for i, pending := range s.queue[:s.sent] {
+		if pending.id == p.ID {
 			s.remove(i)
 			s.sent--
-			s.pump()
-			o.done(p.Reasons[0], nil)
+			s.sendQueued()
+			pending.done(p.Reasons[0], nil)
 			return
 		}
 	}
-	s.log.Debug("acknowledgement of nothing that is out", zap.Uint16("packet", p.ID))
+	s.log.Debug("acknowledgement of a message that is not in flight", zap.Uint16("packet", p.ID))
 }
--- a/internal/wire/mqtt/session.go
+++ b/internal/wire/mqtt/session.go
@@ -11,103 +11,102 @@
 )
 
 const (
-	connectLimit = 2 * time.Second // until CONNACK and SUBACK have come
-	retryFirst   = 100 * time.Millisecond
-	retryMost    = 10 * time.Second
-	maxOutgoing  = 2048    // messages that wait to be sent or acknowledged
-	maxWaiting   = 8 << 20 // and their bytes
-	window       = 256     // of them sent and not acknowledged, or fewer where the broker says so
-	receiveMax   = 64      // messages that the broker may have out to us
+	connectTimeout = 2 * time.Second // until CONNACK, and if there are subscriptions until SUBACK
+	minBackoff     = 100 * time.Millisecond
+	maxBackoff     = 10 * time.Second
+	maxQueued      = 2048    // messages in the queue, sent or not
+	maxQueuedBytes = 8 << 20 // bytes of these messages
+	sendWindow     = 256     // messages sent and not acknowledged, or fewer if the broker limits them
+	receiveMax     = 64      // messages that the broker may have sent to us and not seen acknowledged
 )
 
-// Options are what a session is told.
+// Options are the settings of a session.
 type Options struct {
-	Broker    string
-	ClientID  string
-	Subscribe []string
-	Clean     bool          // start anew with each connection: what was not acknowledged is given up, not sent again
-	Expiry    time.Duration // how long the broker keeps a session that is not clean
-	KeepAlive time.Duration
+	Broker        string
+	ClientID      string
+	Subscribe     []string
+	CleanStart    bool          // start a new session with each connection: messages not acknowledged are given up, not sent again
+	SessionExpiry time.Duration // how long the broker stores a session that is not clean
+	KeepAlive     time.Duration
 }
 
-// errLost is the end of a message that was out when its connection was lost, errFull of one that found no room, errExpired of
-// one that was of no use any more when it could have been sent.
+// Errors with which a message ends: errLost if its connection was lost, errFull if the queue has no room for it, errExpired if it
+// was no longer useful when it could have been sent.
 var (
 	errLost    = errors.New("connection lost")
-	errFull    = errors.New("too many messages wait")
-	errExpired = errors.New("no time is left")
+	errFull    = errors.New("message queue is full")
+	errExpired = errors.New("message expired before it could be sent")
 )
 
-// Session is a client's session with a broker, over as many connections as it takes. It belongs to the turn.
+// Session is a client's session with a broker. It reconnects after each loss. It is used on the event loop only.
 type Session struct {
 	loop *core.Loop
 	net  sock.Dialer
-	opt  Options
+	opts Options
 	log  *zap.Logger
 
-	receive func(*Packet, Receipt) // a PUBLISH has come
-	state   func(up bool)          // the session is usable, or no longer; may be nil
-
-	try      uint64 // counts connections, against late callbacks
-	conn     sock.Conn
-	up       bool
-	asking   bool // SUBACK is awaited, until the connect limit
-	stopped  bool
-	watch    *core.Deadline // connect limit, later silence
-	ping     *core.Deadline
-	backoff  time.Duration
-	lost     time.Duration
-	out      []byte
-	limit    int // of messages out
-	largest  int
-	packetID uint16
-	queue    []*Pending // in order: first those sent, then those that wait
-	sent     int
-	bytes    int
+	onPublish func(*Packet, Receipt) // called for each PUBLISH received
+	onState   func(up bool)          // called when the session becomes usable or unusable; may be nil
+
+	connSeq       uint64 // number of the current connection; callbacks of earlier ones are ignored
+	conn          sock.Conn
+	up            bool
+	subscribing   bool // SUBACK is awaited, until connectTimeout
+	stopped       bool
+	watchdog      *core.Deadline // first for connectTimeout, then for silence of the broker
+	pingTimer     *core.Deadline
+	backoff       time.Duration
+	lostAt        time.Duration // when the broker was lost; 0 while it is not
+	out           []byte        // packets to be written by Flush
+	maxInFlight   int           // messages sent and not acknowledged, as of sendWindow and CONNACK; 0 before CONNACK
+	maxPacketSize int
+	packetID      uint16
+	queue         []*Pending // in order: first those sent, then those to be sent
+	sent          int        // how many of the queue have been sent on this connection
+	queuedBytes   int
 }
 
-// Receipt lets a PUBLISH be acknowledged, on the connection that brought it only: after a loss the broker
-// delivers it again.
+// Receipt acknowledges a PUBLISH, but only on the connection on which it arrived: after a loss the broker delivers it again.
 type Receipt struct {
-	s   *Session
-	try uint64
-	id  uint16
+	session  *Session
+	connSeq  uint64
+	packetID uint16
 }
 
-// Ack acknowledges the message. Flush writes it out at once.
+// Ack acknowledges the message. The acknowledgement is written by the next Flush.
 func (r Receipt) Ack() {
-	if r.id > 0 && r.s.try == r.try && r.s.conn != nil {
-		r.s.write(AppendPuback(nil, r.id, Success))
+	if r.packetID > 0 && r.session.connSeq == r.connSeq && r.session.conn != nil {
+		r.session.write(AppendPuback(nil, r.packetID, Success))
 	}
 }
 
-// NewSession returns a session that hands what it receives to receive.
-func NewSession(loop *core.Loop, net sock.Dialer, opt Options, receive func(*Packet, Receipt), state func(bool),
+// NewSession returns a session that passes messages to onPublish and changes of Up to onState.
+func NewSession(loop *core.Loop, net sock.Dialer, opts Options, onPublish func(*Packet, Receipt), onState func(bool),
 	log *zap.Logger) *Session {
-	return &Session{loop: loop, net: net, opt: opt, log: log, receive: receive, state: state, backoff: retryFirst}
+	return &Session{loop: loop, net: net, opts: opts, log: log, onPublish: onPublish, onState: onState, backoff: minBackoff}
 }
 
-// Connect begins.
+// Connect connects to the broker.
 func (s *Session) Connect() {
 	if s.stopped {
 		return
 	}
-	s.try++
-	try := s.try
-	s.watch = s.loop.After(connectLimit, func() { s.fail(try, errors.New("connect timed out")) })
-	s.net.Dial(s.opt.Broker, connectLimit, &intake{s: s, try: try}, func(c sock.Conn, err error) {
-		s.loop.Post(func() { s.opened(try, c, err) })
+	s.connSeq++
+	connSeq := s.connSeq
+	s.watchdog = s.loop.After(connectTimeout, func() { s.fail(connSeq, errors.New("connect timed out")) })
+	s.net.Dial(s.opts.Broker, connectTimeout, &connHandler{session: s, connSeq: connSeq}, func(c sock.Conn, err error) {
+		s.loop.Post(func() { s.opened(connSeq, c, err) })
 	})
 }
 
-// Stop ends the session's connection for good.
+// Stop closes the connection and does not connect again.
 func (s *Session) Stop() {
 	if s.conn != nil {
 		s.write(Append(nil, Disconnect, 0, nil))
 		s.Flush()
 	}
 	s.stopped = true
-	s.fail(s.try, errors.New("stopped"))
+	s.fail(s.connSeq, errors.New("stopped"))
 }
 
 // Up reports whether the session is usable.
@@ -120,7 +119,7 @@
 	s.out = append(s.out, b...)
 }
 
-// Flush writes out what the turn has left. It does so at the end of the turn in any case.
+// Flush writes what has been queued in this loop iteration. It is also called at the end of each iteration.
 func (s *Session) Flush() {
 	out := s.out
 	s.out = nil
@@ -128,6 +127,6 @@
 		return
 	}
 	if _, err := s.conn.Write(out); err != nil {
-		s.fail(s.try, err)
+		s.fail(s.connSeq, err)
 	}
 }
--- a/internal/wire/mqtt/session_test.go
+++ b/internal/wire/mqtt/session_test.go
@@ -13,76 +13,77 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// A broker that is silent, or breaks the protocol, is left and tried again.
-func TestSessionLeavesABadBroker(t *testing.T) {
-	for _, say := range []string{"", "\x20\x02\x00\x00", "\x20\x03\x00\x87\x00", "\x00\x00", "\x20\x03\x00\x00\x00\x20\x03\x00\x00\x00"} {
-		w := wiretest.New(t)
+// A session closes its connection to a broker that is silent or violates the protocol, and connects again.
+func TestSessionReconnectsAfterBrokerFault(t *testing.T) {
+	for _, input := range []string{"", "\x20\x02\x00\x00", "\x20\x03\x00\x87\x00", "\x00\x00", "\x20\x03\x00\x00\x00\x20\x03\x00\x00\x00"} {
+		world := wiretest.New(t)
 		var peers []*wiretest.Peer
-		w.Listen("b", func(c *wiretest.Conn) sock.Handler {
+		world.Listen("b", func(c *wiretest.Conn) sock.Handler {
 			peers = append(peers, &wiretest.Peer{Conn: c})
-			c.Write([]byte(say))
+			c.Write([]byte(input))
 			return peers[len(peers)-1]
 		})
-		s := NewSession(w.Loop, w, Options{Broker: "b", ClientID: "x", KeepAlive: 4 * time.Second,
-			Subscribe: []string{"t"}}, nil, nil, w.Log())
-		s.Connect()
-		w.Pass(30 * time.Second)
-		if len(peers) < 2 || !peers[0].Over || s.Up() {
-			t.Errorf("%q: %d connections, up %v", say, len(peers), s.Up())
+		session := NewSession(world.Loop, world, Options{Broker: "b", ClientID: "x", KeepAlive: 4 * time.Second,
+			Subscribe: []string{"t"}}, nil, nil, world.Log())
+		session.Connect()
+		world.Advance(30 * time.Second)
+		if len(peers) < 2 || !peers[0].Ended || session.Up() {
+			t.Errorf("%q: %d connections, up %v", input, len(peers), session.Up())
 		}
 	}
 }
 
-// Until its session is up a link has no worker to offer, and says so at once.
-func TestLinkWithoutSession(t *testing.T) {
-	s := newStage(t)
-	s.jobs.cut("gw")
-	s.publish("read", "", "c1", 1)
-	s.Pass(2 * time.Second)
-	s.want("outcome c1", "served") // the session was back in time
+// A link whose session is not up has no worker to offer, and reports so at once.
+func TestLinkWithoutSessionReportsNoConnection(t *testing.T) {
+	gw := newTestGateway(t)
+	gw.workerBroker.disconnect("gw")
+	gw.publish("read", "", "c1", 1)
+	gw.Advance(2 * time.Second)
+	gw.wantRecords("outcome c1", "served") // the session was restored in time
 	got := decide.Good
-	l := NewLink(s.Loop, s, Options{Broker: "nowhere"}, "r", nil, 1, nil, s.Log())
-	l.Serve(ends(func(how decide.Outcome) { got = how }))
+	l := NewLink(gw.Loop, gw, Options{Broker: "nowhere"}, "r", nil, 1, nil, gw.Log())
+	l.Serve(endsFunc(func(how decide.Outcome) { got = how }))
 	l.Send(core.Attempt{Host: Prefix + "w9", Call: &core.Call{}})
 	if got != decide.NoConn {
 		t.Errorf("outcome %d, want no connection", got)
 	}
 }
 
-type ends func(decide.Outcome)
+type endsFunc func(decide.Outcome)
 
-func (e ends) Ended(_ core.Ref, end core.AttemptResult) { e(end.Outcome) }
+func (e endsFunc) Ended(_ core.Ref, end core.AttemptResult) { e(end.Outcome) }
 
-func (e ends) Probed(_ core.Ref, how decide.Outcome, _ *decide.Report) { e(how) }
+func (e endsFunc) Probed(_ core.Ref, how decide.Outcome, _ *decide.Report) { e(how) }
 
-func (e ends) Wrote(int) {}
+func (e endsFunc) Wrote(int) {}
 
-func (e ends) Loaded(_ core.Ref, how decide.Outcome, _ int) { e(how) }
+func (e endsFunc) Loaded(_ core.Ref, how decide.Outcome, _ int) { e(how) }
 
-// locked lets the stand-in broker be used by the several I/O goroutines of real sockets.
-type locked struct {
+// lockedHandler lets the fake broker be used by several I/O goroutines of real sockets.
+type lockedHandler struct {
 	mu *sync.Mutex
 	h  sock.Handler
 }
 
-func (l locked) Data(b []byte) error { l.mu.Lock(); defer l.mu.Unlock(); return l.h.Data(b) }
+func (l lockedHandler) Data(b []byte) error { l.mu.Lock(); defer l.mu.Unlock(); return l.h.Data(b) }
 
-func (l locked) Closed(err error) { l.mu.Lock(); defer l.mu.Unlock(); l.h.Closed(err) }
+func (l lockedHandler) Closed(err error) { l.mu.Lock(); defer l.mu.Unlock(); l.h.Closed(err) }
 
-// echo is a core that serves each call at once, and counts.
-type echo struct{ runs map[string]int }
+// echoCore serves each call at once with its own body, and counts executions by key.
+type echoCore struct{ runs map[string]int }
 
-func (e echo) Count(int, string) {}
+func (e echoCore) Count(int, string) {}
 
-func (e echo) Submit(c core.Call) core.Ref { e.runs[c.Key]++; c.Reply.Served(c.Body); return 0 }
+func (e echoCore) Submit(c core.Call) core.Ref { e.runs[c.Key]++; c.Reply.Served(c.Body); return 0 }
 
-// The front on loopback: a keyed call whose acknowledgement is lost is delivered again after the connection broke,
-// and answered from memory.
+// On real sockets, a keyed call whose acknowledgement is lost is delivered again after the connection broke, and is answered from
+// memory.
 func TestRedeliveryOnRealSockets(t *testing.T) {
 	var mu sync.Mutex
 	b := newBroker()
-	b.holdAcks = true
-	host, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 256, Accepted: 256}, func(c sock.Conn) sock.Handler { return locked{&mu, b.accept(c)} }, zap.NewNop())
+	b.dropAcks = true
+	host, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 256, Accepted: 256},
+		func(c sock.Conn) sock.Handler { return lockedHandler{&mu, b.accept(c)} }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,11 +93,11 @@
 		t.Fatal(err)
 	}
 	defer net.Stop()
-	now := time.Hour // moved by the test, so that the backoff takes no time
+	now := time.Hour // advanced by the test, so that it need not wait for the backoff
 	loop := core.NewLoop(func() time.Duration { return now })
-	runs := echo{map[string]int{}}
+	runs := echoCore{map[string]int{}}
 	f := NewFront(loop, net, runs, wiretest.Site(), Options{Broker: host.Addr(), ClientID: "gw", Subscribe: []string{"call/#"},
-		Expiry: time.Minute, KeepAlive: time.Hour}, time.Hour, 1, nil, zap.NewNop())
+		SessionExpiry: time.Minute, KeepAlive: time.Hour}, time.Hour, 1, nil, zap.NewNop())
 	f.Connect()
 	until := func(what func() bool) {
 		for {
@@ -117,41 +118,41 @@
 	mu.Unlock()
 	until(func() bool { return len(b.published) == 1 && f.Waiting() == 0 })
 	mu.Lock()
-	b.cut("gw")
+	b.disconnect("gw")
 	mu.Unlock()
 	until(func() bool { return !f.Up() })
-	now += retryFirst
-	loop.RunOnce() // the backoff is over
+	now += minBackoff
+	loop.RunOnce() // the backoff has expired
 	until(func() bool { return len(b.published) == 2 && f.Waiting() == 0 })
 	if runs.runs["k"] != 1 || b.published[1].Props.Get("outcome") != "served" || b.connects != 2 {
 		t.Errorf("ran %v, %d connects, answers %+v", runs.runs, b.connects, b.published)
 	}
 }
 
-// The time that a worker is told is what is left as the call is published, also where the broker takes no bytes for a while;
-// a call whose time is over by then is not published at all.
-func TestBudgetIsOfTheMomentOfPublishing(t *testing.T) {
+// The budget sent to a worker is what is left when the call is published, also if the broker reads nothing for a while. A call
+// without budget left by then is not published at all.
+func TestBudgetIsComputedWhenPublished(t *testing.T) {
 	for wait, published := range map[time.Duration]bool{time.Second: true, 2500 * time.Millisecond: false} {
-		s := newStage(t)
-		conn := s.link.session.conn.(*wiretest.Conn)
+		gw := newTestGateway(t)
+		conn := gw.link.session.conn.(*wiretest.Conn)
 		var budgets []string
-		s.worker.got = func(p *Packet) {
+		gw.worker.onPublish = func(p *Packet) {
 			if p.Type == Publish && p.Topic == "w1/calls" {
 				budgets = append(budgets, p.Props.Get("budget-ms"))
 			}
 		}
-		conn.Slow = 1000
-		s.link.Send(core.Attempt{Ref: 7, Host: Prefix + "w1", Deadline: s.Now() + 2*time.Second, Call: &core.Call{ID: "x"}})
-		s.Pass(wait)
-		s.Skip(150 * time.Millisecond) // the turn comes late as well
+		conn.UnsentBytes = 1000
+		gw.link.Send(core.Attempt{Ref: 7, Host: Prefix + "w1", Deadline: gw.Now() + 2*time.Second, Call: &core.Call{ID: "x"}})
+		gw.Advance(wait)
+		gw.Stall(150 * time.Millisecond) // the event loop runs late as well
 		conn.Flush()
-		s.Run()
+		gw.Run()
 		want := 0
 		if published {
 			want = 1
 		}
 		if len(budgets) != want || published && budgets[0] != "850" {
-			t.Errorf("after %v of 2 s: told %q", wait, budgets)
+			t.Errorf("flushed %v after Send, with 2 s to the deadline: budgets %q", wait, budgets)
 		}
 	}
 }
--- a/internal/wire/mqtt/workers.go
+++ b/internal/wire/mqtt/workers.go
@@ -13,42 +13,42 @@
 
 func (l *Link) member(w *Worker, state decide.HostState) core.Member {
 	return core.Member{Addr: w.Topic, Host: decide.Host{Name: w.Name, Zone: w.Zone, Cell: w.Cell, State: state,
-		Weight: w.Weight, Since: l.since[w.Name], SelfReported: true}}
+		Weight: w.Weight, Since: l.startedAt[w.Name], SelfReported: true}}
 }
 
-var states = map[string]decide.HostState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var stateByText = map[string]decide.HostState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 
-// status takes a worker's state. One that comes back after it was gone may have been started anew, and is
-// treated as cold unless the state is from before we subscribed.
-func (l *Link) status(w *Worker, text string, retained bool) {
-	state, ok := states[strings.TrimSpace(text)]
+// handleStatus handles a worker's state. A worker that is ready again after it was gone may have been restarted and is treated as
+// cold, unless the state is a retained message from before the subscription.
+func (l *Link) handleStatus(w *Worker, text string, retained bool) {
+	state, ok := stateByText[strings.TrimSpace(text)]
 	if !ok {
 		l.log.Warn("worker's state can't be read", zap.String("worker", w.Name))
 		return
 	}
-	was, known := l.state[w.Name]
-	if known && was == state || !known && state == decide.Gone {
+	previous, known := l.states[w.Name]
+	if known && previous == state || !known && state == decide.Gone {
 		return
 	}
 	if state == decide.Ready && !retained {
-		l.since[w.Name] = l.loop.Now()
+		l.startedAt[w.Name] = l.loop.Now()
 	}
-	l.state[w.Name] = state
+	l.states[w.Name] = state
 	l.log.Info("worker's state", zap.String("worker", w.Name), zap.String("state", text))
-	l.tell(false, []core.Member{l.member(w, state)})
+	l.onMembers(false, []core.Member{l.member(w, state)})
 	if state == decide.Gone {
-		for _, ref := range slices.Sorted(maps.Keys(l.open)) {
-			if l.open[ref].worker == w.Name {
+		for _, ref := range slices.Sorted(maps.Keys(l.inFlight)) {
+			if l.inFlight[ref].worker == w.Name {
 				l.end(ref, decide.Reset, decide.NoNote, nil)
 			}
 		}
 	}
 }
 
-// Members are the workers as last told.
+// Members are the workers with a known state.
 func (l *Link) Members() (members []core.Member) {
-	for _, name := range slices.Sorted(maps.Keys(l.state)) {
-		members = append(members, l.member(l.workers[name], l.state[name]))
+	for _, name := range slices.Sorted(maps.Keys(l.states)) {
+		members = append(members, l.member(l.workers[name], l.states[name]))
 	}
 	return members
 }
--- a/internal/wire/opfront/front.go
+++ b/internal/wire/opfront/front.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// Callers is the number of connections that the door holds. One more takes the place of the oldest that is silent.
-	Callers = 24
-	// Sockets is what the door may take of the descriptors: its callers and its engine.
-	Sockets = Callers + 4
+	// MaxConns is the number of connections that are held. One more closes the oldest of them, which has had the most time.
+	MaxConns = 24
+	// Descriptors is the number of file descriptors that the listener may use: its connections and those of its I/O engine.
+	Descriptors = MaxConns + 4
 
-	callLimit   = 6 * time.Second        // for the line to come
-	lingerLimit = 300 * time.Millisecond // for the caller to close after the reply
+	callTimeout   = 6 * time.Second        // for the line to arrive
+	lingerTimeout = 300 * time.Millisecond // for the caller to close after the reply
 )
 
-// Desk does what operators ask for. It is called on the turn, and calls done there once, within a second: with the lines that
-// follow SUCCESS, each ending in a line feed, or with the reason why not.
-type Desk interface {
+// Executor executes the calls of operators. Do is called on the event loop and calls done there once, within a second: with the
+// lines that follow SUCCESS, each ending in a line feed, or with the reason for a failure.
+type Executor interface {
 	Do(c Call, done func(text string, err error))
 }
 
-// Front answers operators. It belongs to the turn.
+// Front answers operators. It is used on the event loop only.
 type Front struct {
-	loop  *core.Loop
-	desk  Desk
-	log   *zap.Logger
-	conns *core.Table[*conn]
+	loop     *core.Loop
+	executor Executor
+	log      *zap.Logger
+	conns    *core.Table[*conn]
 }
 
-// New returns a door in front of desk.
-func New(loop *core.Loop, desk Desk, log *zap.Logger) *Front {
-	return &Front{loop: loop, desk: desk, log: log, conns: core.NewTable[*conn](Callers)}
+// New returns a front that passes calls to executor.
+func New(loop *core.Loop, executor Executor, log *zap.Logger) *Front {
+	return &Front{loop: loop, executor: executor, log: log, conns: core.NewTable[*conn](MaxConns)}
 }
 
-// Conns is the number of connections that are open.
+// Conns is the number of open connections.
 func (f *Front) Conns() int { return f.conns.Len() }
 
-// conn is one caller. The parser belongs to the I/O goroutine, the rest to the turn.
+// conn is the connection of one operator. parser belongs to the I/O goroutine, all other fields to the event loop.
 type conn struct {
-	f        *Front
+	front    *Front
 	sock     sock.Conn
 	parser   Parser
 	ref      core.Ref
@@ -52,9 +52,9 @@
 	gone     bool
 }
 
-// Accept takes a new connection; called on an I/O goroutine.
+// Accept takes a new connection. It is called on an I/O goroutine.
 func (f *Front) Accept(s sock.Conn) sock.Handler {
-	c := &conn{f: f, sock: s}
+	c := &conn{front: f, sock: s}
 	f.loop.PostUrgent(c.opened)
 	return c
 }
@@ -62,47 +62,47 @@
 func (c *conn) Data(b []byte) error {
 	call, done, err := c.parser.Feed(b)
 	if done {
-		exact := c.parser.Exact()
-		c.f.loop.PostUrgent(func() { c.take(call, exact, err) })
+		nothingFollows := c.parser.NothingFollows()
+		c.front.loop.PostUrgent(func() { c.received(call, nothingFollows, err) })
 	}
 	return nil
 }
 
-func (c *conn) Closed(error) { c.f.loop.PostUrgent(c.closed) }
+func (c *conn) Closed(error) { c.front.loop.PostUrgent(c.closed) }
 
 func (c *conn) opened() {
 	if c.gone {
 		return
 	}
-	if c.f.conns.Len() == Callers { // never in the way of a good caller: the oldest has had its time
+	if c.front.conns.Len() == MaxConns { // a new caller is never refused: the oldest connection has had its time
 		var oldest *conn
-		c.f.conns.Each(func(_ core.Ref, o *conn) {
+		c.front.conns.Each(func(_ core.Ref, o *conn) {
 			if oldest == nil || o.timer.Before(oldest.timer) {
 				oldest = o
 			}
 		})
-		oldest.drop()
+		oldest.closeNow()
 	}
-	c.ref, _ = c.f.conns.Put(c)
-	c.timer = c.f.loop.After(callLimit, func() {
+	c.ref, _ = c.front.conns.Put(c)
+	c.timer = c.front.loop.After(callTimeout, func() {
 		if !c.answered {
 			c.reply("FAILURE no call came\n", true)
 		}
 	})
 }
 
-func (c *conn) take(call Call, exact bool, err error) {
+func (c *conn) received(call Call, nothingFollows bool, err error) {
 	if c.gone || c.answered {
 		return
 	}
 	if err != nil {
-		c.reply("FAILURE "+err.Error()+"\n", exact)
+		c.reply("FAILURE "+err.Error()+"\n", nothingFollows)
 		return
 	}
 	c.answered = true
-	c.f.desk.Do(call, func(text string, err error) {
-		if !forms[call.Name].asks { // these may come every second
-			c.f.log.Info("operator's call", zap.String("call", call.Name), zap.String("id", call.ID), zap.Error(err))
+	c.front.executor.Do(call, func(text string, err error) {
+		if !callSpecs[call.Name].readOnly { // read-only calls may come every second and are not logged
+			c.front.log.Info("operator's call", zap.String("call", call.Name), zap.String("id", call.ID), zap.Error(err))
 		}
 		if err != nil {
 			text = "FAILURE " + err.Error() + "\n"
@@ -110,32 +110,32 @@
 			text = "SUCCESS\n" + text
 		}
 		if !c.gone {
-			c.reply(text, exact)
+			c.reply(text, nothingFollows)
 		}
 	})
 }
 
-// reply writes the one reply and closes. Where more than a line came, what follows is disregarded for a moment first:
-// a close with input unread would take the reply back.
-func (c *conn) reply(text string, exact bool) {
+// reply writes the one reply and closes the connection. Unless nothing follows the line, input is discarded for a moment first:
+// a close with unread input would reset the connection, and the reply could be lost.
+func (c *conn) reply(text string, nothingFollows bool) {
 	c.answered = true
-	if _, err := c.sock.Write([]byte(text)); err != nil || exact && c.sock.Unsent() == 0 {
-		c.drop()
+	if _, err := c.sock.Write([]byte(text)); err != nil || nothingFollows && c.sock.Unsent() == 0 {
+		c.closeNow()
 		return
 	}
-	c.f.loop.Cancel(c.timer)
-	c.timer = c.f.loop.After(lingerLimit, c.drop)
+	c.front.loop.Cancel(c.timer)
+	c.timer = c.front.loop.After(lingerTimeout, c.closeNow)
 }
 
 func (c *conn) closed() {
 	if !c.gone {
 		c.gone = true
-		c.f.loop.Cancel(c.timer)
-		c.f.conns.Free(c.ref)
+		c.front.loop.Cancel(c.timer)
+		c.front.conns.Free(c.ref)
 	}
 }
 
-func (c *conn) drop() {
+func (c *conn) closeNow() {
 	c.sock.Close()
 	c.closed()
 }
--- a/internal/wire/opfront/opfront_test.go
+++ b/internal/wire/opfront/opfront_test.go
@@ -13,41 +13,41 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// desk notes what it was asked for.
-type desk struct {
-	said []string
-	no   error
+// fakeExecutor records the calls that it gets.
+type fakeExecutor struct {
+	calls []string
+	err   error
 }
 
-func (d *desk) Do(c Call, done func(string, error)) {
-	said := strings.TrimSpace(c.Name + " " + c.ID)
+func (e *fakeExecutor) Do(c Call, done func(string, error)) {
+	call := strings.TrimSpace(c.Name + " " + c.ID)
 	if c.Emergency {
-		said += " at once"
+		call += " at once"
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Options)) {
-		said += " " + name + ":" + c.Options[name]
+		call += " " + name + ":" + c.Options[name]
 	}
-	if d.said = append(d.said, said); c.Name == "show-stat" {
-		done("svc.active:14|g\nEOT\n", d.no)
+	if e.calls = append(e.calls, call); c.Name == "show-stat" {
+		done("svc.active:14|g\nEOT\n", e.err)
 		return
 	}
-	done("", d.no)
+	done("", e.err)
 }
 
-func dial(w *wiretest.World, f *Front) *wiretest.Peer {
-	p := &wiretest.Peer{}
-	p.Conn, _ = w.Pair(p, func(c *wiretest.Conn) sock.Handler { return f.Accept(c) })
-	w.Run()
-	return p
+func dial(world *wiretest.World, front *Front) *wiretest.Peer {
+	peer := &wiretest.Peer{}
+	peer.Conn, _ = world.Pair(peer, func(c *wiretest.Conn) sock.Handler { return front.Accept(c) })
+	world.Run()
+	return peer
 }
 
-func newDoor(t testing.TB) (*wiretest.World, *Front, *desk) {
-	w, d := wiretest.New(t), &desk{}
-	return w, New(w.Loop, d, w.Log()), d
+func newFront(t testing.TB) (*wiretest.World, *Front, *fakeExecutor) {
+	world, executor := wiretest.New(t), &fakeExecutor{}
+	return world, New(world.Loop, executor, world.Log()), executor
 }
 
-// Each call has its one reply and a close, at once, however its bytes are cut; what is no call is told so and reaches
-// nobody.
+// Each call gets one reply and a close at once, however its bytes are split. A line that is no valid call is answered with the
+// reason and never reaches the executor.
 func TestCalls(t *testing.T) {
 	for line, want := range map[string][2]string{
 		"ready\n":                     {"SUCCESS\n", "ready"},
@@ -74,76 +74,77 @@
 		"\x00\xff\n":                                                {"FAILURE not a line of text\n", ""},
 		strings.Repeat("x", maxLine+1):                              {"FAILURE line too long\n", ""},
 		strings.Repeat("x", 10000) + "\n":                           {"FAILURE line too long\n", ""},
-		"ready\ndrain\n":                                            {"SUCCESS\n", "ready"}, // one call on a connection
+		"ready\ndrain\n":                                            {"SUCCESS\n", "ready"}, // one call per connection
 		"disable-server " + strings.Repeat("x", 240) + "\n": {"SUCCESS\n", "disable-server " + strings.Repeat("x", 240)},
 	} {
 		for _, chunk := range []int{0, 1, 7} {
-			w, f, d := newDoor(t)
-			w.Chunk = chunk
-			p := dial(w, f)
-			p.Write([]byte(line))
-			w.Run()
-			got := p.Take()
-			w.Pass(lingerLimit)
-			if got != want[0] || strings.Join(d.said, ",") != want[1] || !p.Over || f.Conns() != 0 {
-				t.Errorf("%.40q in pieces of %d: reply %q, asked %q, closed %v, %d open", line, chunk, got, d.said, p.Over, f.Conns())
+			world, front, executor := newFront(t)
+			world.MaxChunk = chunk
+			peer := dial(world, front)
+			peer.Write([]byte(line))
+			world.Run()
+			got := peer.Take()
+			world.Advance(lingerTimeout)
+			if got != want[0] || strings.Join(executor.calls, ",") != want[1] || !peer.Ended || front.Conns() != 0 {
+				t.Errorf("%.40q in pieces of %d: reply %q, calls %q, closed %v, %d connections open", line, chunk, got, executor.calls,
+					peer.Ended, front.Conns())
 			}
 		}
 	}
 }
 
-// What the desk can't do is told with its reason.
-func TestReasonIsTold(t *testing.T) {
-	w, f, d := newDoor(t)
-	d.no = errors.New("no such worker")
-	p := dial(w, f)
-	p.Write([]byte("enable-server nobody\n"))
-	w.Run()
-	if got := p.Take(); got != "FAILURE no such worker\n" {
+// An error of the executor is sent in the reply.
+func TestExecutorErrorIsReplied(t *testing.T) {
+	world, front, executor := newFront(t)
+	executor.err = errors.New("no such worker")
+	peer := dial(world, front)
+	peer.Write([]byte("enable-server nobody\n"))
+	world.Run()
+	if got := peer.Take(); got != "FAILURE no such worker\n" {
 		t.Errorf("reply %q", got)
 	}
 }
 
-// However many callers say nothing, half a call or junk, their number is bounded, they end, and a good caller has its
-// reply in the same turn.
-func TestGoodCallerAmongBadOnes(t *testing.T) {
+// However many operators send nothing, part of a call or garbage, the number of connections is limited, the connections time out,
+// and a valid call gets its reply in the same loop iteration.
+func TestValidCallAmongBadConnections(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		w, f, _ := newDoor(t)
+		world, front, _ := newFront(t)
 		var bad []*wiretest.Peer
 		for range 300 {
 			switch rng.IntN(4) {
 			case 0:
-				bad = append(bad, dial(w, f))
+				bad = append(bad, dial(world, front))
 			case 1:
-				bad = append(bad, dial(w, f))
+				bad = append(bad, dial(world, front))
 				bad[len(bad)-1].Write([]byte("disable-ser"))
 			case 2:
-				w.Pass(time.Duration(rng.IntN(500)) * time.Millisecond)
+				world.Advance(time.Duration(rng.IntN(500)) * time.Millisecond)
 			case 3:
-				p := dial(w, f)
-				p.Write([]byte("ready\n"))
-				if w.Run(); p.Take() != "SUCCESS\n" {
+				peer := dial(world, front)
+				peer.Write([]byte("ready\n"))
+				if world.Run(); peer.Take() != "SUCCESS\n" {
 					t.Fatalf("seed %d: no reply", seed)
 				}
 			}
-			if f.Conns() > Callers {
-				t.Fatalf("seed %d: %d callers", seed, f.Conns())
+			if front.Conns() > MaxConns {
+				t.Fatalf("seed %d: %d connections, want at most %d", seed, front.Conns(), MaxConns)
 			}
 		}
-		w.Pass(callLimit + lingerLimit)
-		for _, p := range bad {
-			if !p.Over {
-				t.Fatalf("seed %d: a caller that said no call is still held", seed)
+		world.Advance(callTimeout + lingerTimeout)
+		for _, peer := range bad {
+			if !peer.Ended {
+				t.Fatalf("seed %d: a connection without a whole call is still open", seed)
 			}
 		}
-		if n := w.Loop.Len(); f.Conns() != 0 || n != 0 {
-			t.Fatalf("seed %d: %d callers, %d deadlines left", seed, f.Conns(), n)
+		if n := world.Loop.Len(); front.Conns() != 0 || n != 0 {
+			t.Fatalf("seed %d: %d connections, %d deadlines left", seed, front.Conns(), n)
 		}
 	}
 }
 
-// FuzzParser feeds any bytes in any pieces: at most one call comes of them, and the buffer stays bounded.
+// FuzzParser feeds arbitrary bytes in arbitrary pieces. They yield at most one call, and the buffer stays bounded.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("ready\n"), 1)
 	f.Add([]byte("disable-server s-00c41f7a\r\nready\n"), 3)
@@ -157,7 +158,7 @@
 			call, done, err := p.Feed(b[:n])
 			if b = b[n:]; done {
 				calls++
-				if _, known := forms[call.Name]; err == nil && !known {
+				if _, known := callSpecs[call.Name]; err == nil && !known {
 					t.Fatalf("call %+v", call)
 				}
 			}
