--- a/internal/wire/opfront/parser.go
+++ b/internal/wire/opfront/parser.go
@@ -1,4 +1,5 @@
-// Package opfront is the operators' door: one call on a line, one reply, then the connection is closed.
+// Package opfront is the operator listener. An operator sends one call on a line and gets one reply, after which the connection is
+// closed.
 package opfront
 
 import (
@@ -7,50 +8,50 @@
 	"strings"
 )
 
-// maxLine bounds a call: what is declared takes some words.
+// maxLine is the longest line of a call, in bytes. It leaves room for the words of a declare call.
 const maxLine = 2048
 
-// Call is one call of an operator.
+// Call is a call of an operator.
 type Call struct {
 	Name      string
-	ID        string            // of a worker or gateway, or the kind of what is declared
-	Emergency bool              // it asks nobody
-	Options   map[string]string // name=value; the value of why is all that follows it
+	ID        string            // name of a worker or gateway, or the kind of what is declared
+	Emergency bool              // "emergency" was given: the call does not ask for a permit
+	Options   map[string]string // name=value options; the value of why is the rest of the line
 }
 
-// form is what may follow a call's name.
-type form struct {
-	id, optional bool // a word, which may be missing
+// callSpec states what may follow the name of a call.
+type callSpec struct {
+	id, optional bool // a word, which may be missing if optional is set
 	options      bool
-	asks         bool // it changes nothing
+	readOnly     bool // the call changes nothing
 }
 
-var forms = map[string]form{"ready": {asks: true}, "show-stat": {asks: true}, "disable-server": {id: true, options: true}, "enable-server": {id: true, options: true},
-	"drain": {options: true}, "resume": {options: true}, "agreed": {asks: true},
-	"wanted": {id: true, optional: true, asks: true}, "declare": {id: true, options: true}}
+var callSpecs = map[string]callSpec{"ready": {readOnly: true}, "show-stat": {readOnly: true},
+	"disable-server": {id: true, options: true}, "enable-server": {id: true, options: true},
+	"drain": {options: true}, "resume": {options: true}, "agreed": {readOnly: true},
+	"wanted": {id: true, optional: true, readOnly: true}, "declare": {id: true, options: true}}
 
-// The faults of a call.
+// What can be wrong with a call. The operator gets these texts in the reply.
 var (
-	errLong    = errors.New("line too long")
-	errBytes   = errors.New("not a line of text")
-	errCall    = errors.New("unknown call")
-	errMissing = errors.New("an id is needed")
-	errSurplus = errors.New("too many words")
-	errTwice   = errors.New("a name without a value, or one with two")
+	errLineTooLong  = errors.New("line too long")
+	errNotText      = errors.New("not a line of text")
+	errUnknownCall  = errors.New("unknown call")
+	errMissingID    = errors.New("an id is needed")
+	errTooManyWords = errors.New("too many words")
+	errBadOption    = errors.New("a name without a value, or one with two")
 )
 
-// Parser gathers the one line of a connection.
+// Parser collects the line of one connection.
 type Parser struct {
-	buf   []byte
-	done  bool
-	exact bool
+	buf            []byte
+	done           bool
+	nothingFollows bool
 }
 
-// Exact reports whether the line was all that came with it.
-func (p *Parser) Exact() bool { return p.exact }
+// NothingFollows reports whether no input followed the line in the bytes that completed it.
+func (p *Parser) NothingFollows() bool { return p.nothingFollows }
 
-// Feed takes the next bytes. It reports the line's call once it is whole, or what is wrong with it; what comes after
-// that is disregarded.
+// Feed takes the next bytes. Once the line is whole it returns done with the call, or with the error. Later input is ignored.
 func (p *Parser) Feed(b []byte) (call Call, done bool, err error) {
 	if p.done {
 		return Call{}, false, nil
@@ -63,42 +64,42 @@
 	}
 	p.done = true
 	if end < 0 {
-		return Call{}, true, errLong
+		return Call{}, true, errLineTooLong
 	}
-	p.exact = end == size-1
+	p.nothingFollows = end == size-1
 	call, err = parse(strings.TrimSuffix(string(p.buf[:end]), "\r"))
 	return call, true, err
 }
 
 func parse(line string) (Call, error) {
 	if strings.ContainsFunc(line, func(c rune) bool { return c < ' ' && c != '\t' || c >= 0x7f }) {
-		return Call{}, errBytes
+		return Call{}, errNotText
 	}
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return Call{}, errCall
+		return Call{}, errUnknownCall
 	}
-	f, known := forms[words[0]]
+	spec, known := callSpecs[words[0]]
 	c := Call{Name: words[0]}
 	rest := words[1:]
 	if !known {
-		return Call{}, errCall
+		return Call{}, errUnknownCall
 	}
-	if f.id && len(rest) > 0 {
+	if spec.id && len(rest) > 0 {
 		c.ID, rest = rest[0], rest[1:]
-	} else if f.id && !f.optional {
-		return Call{}, errMissing
+	} else if spec.id && !spec.optional {
+		return Call{}, errMissingID
 	}
 	for len(rest) > 0 {
-		name, value, pair := strings.Cut(rest[0], "=")
+		name, value, hasValue := strings.Cut(rest[0], "=")
 		switch {
-		case !f.options || !pair && rest[0] != "emergency":
-			return Call{}, errSurplus
-		case !pair:
+		case !spec.options || !hasValue && rest[0] != "emergency":
+			return Call{}, errTooManyWords
+		case !hasValue:
 			c.Emergency = true
 		default:
-			if _, twice := c.Options[name]; twice || name == "" {
-				return Call{}, errTwice
+			if _, given := c.Options[name]; given || name == "" {
+				return Call{}, errBadOption
 			}
 			if c.Options == nil {
 				c.Options = map[string]string{}
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -1,5 +1,5 @@
-// Package wiretest is what the tests of the wire share: a loop on a clock that stands still until it is moved,
-// and a network in memory that delivers one step at a time, in a fixed order.
+// Package wiretest is shared by the tests of the wire packages: an event loop on a clock that only the test advances, and a
+// network in memory that delivers one step at a time, in a fixed order.
 package wiretest
 
 import (
@@ -16,43 +16,43 @@
 	"quillrail/internal/wire/sock"
 )
 
-// World is a loop, its clock and a network.
+// World is an event loop with its clock and a network in memory.
 type World struct {
-	T     testing.TB
-	Loop  *core.Loop
-	Chunk int // bytes that one delivery carries at most, 0 for all
+	T        testing.TB
+	Loop     *core.Loop
+	MaxChunk int // bytes that one delivery carries at most; 0 for no limit
 
-	now     time.Duration
-	steps   []func()
-	accepts map[string]func(*Conn) sock.Handler
-	Silent  map[string]bool // addresses where a connect is never answered
-	Dials   int
+	now        time.Duration
+	steps      []func() // deliveries and closes that have not happened yet, in order
+	listeners  map[string]func(*Conn) sock.Handler
+	Unanswered map[string]bool // addresses where a connect gets no answer
+	Dials      int             // connects so far
 
-	ConnectDelay time.Duration // until a connect is answered
+	ConnectDelay time.Duration // time until a connect is answered
 }
 
 // New returns a world at a fixed time.
 func New(t testing.TB) *World {
-	w := &World{T: t, now: 1000 * time.Hour, accepts: map[string]func(*Conn) sock.Handler{}, Silent: map[string]bool{}}
+	w := &World{T: t, now: 1000 * time.Hour, listeners: map[string]func(*Conn) sock.Handler{}, Unanswered: map[string]bool{}}
 	w.Loop = core.NewLoop(func() time.Duration { return w.now })
 	return w
 }
 
-// Now is the time.
+// Now is the time of the world's clock.
 func (w *World) Now() time.Duration { return w.now }
 
-// Skip has time pass in which nothing is done, as in a turn that takes long.
-func (w *World) Skip(d time.Duration) { w.now += d }
+// Stall moves the clock without running the loop, as if one loop iteration took that long.
+func (w *World) Stall(d time.Duration) { w.now += d }
 
-// Log is a logger for the parts under test.
+// Log returns a logger for the parts under test. It discards everything.
 func (w *World) Log() *zap.Logger { return zap.NewNop() }
 
-// Run delivers and takes turns until nothing is left to do at this time.
+// Run delivers steps and runs the loop until nothing is left to do at the present time.
 func (w *World) Run() {
 	w.Loop.RunOnce()
 	for n := 0; len(w.steps) > 0; n++ {
 		if n > 1e5 {
-			w.T.Fatal("the world does not come to rest")
+			w.T.Fatal("more than 100000 deliveries without the clock advancing")
 		}
 		step := w.steps[0]
 		w.steps = w.steps[1:]
@@ -61,8 +61,8 @@
 	}
 }
 
-// Pass moves the clock, stopping at each deadline on the way.
-func (w *World) Pass(d time.Duration) {
+// Advance moves the clock by d and runs the loop at each deadline on the way.
+func (w *World) Advance(d time.Duration) {
 	end := w.now + d
 	for w.Run(); ; w.Run() {
 		at, ok := w.Loop.Next()
@@ -75,17 +75,17 @@
 	w.Run()
 }
 
-// Listen has connections to addr accepted; nil for a handler refuses all.
-func (w *World) Listen(addr string, accept func(*Conn) sock.Handler) { w.accepts[addr] = accept }
+// Listen makes connects to addr succeed, with accept as the handler of the listening end. A nil accept refuses them.
+func (w *World) Listen(addr string, accept func(*Conn) sock.Handler) { w.listeners[addr] = accept }
 
-// Dial makes the world a dialer.
+// Dial connects to addr, so that a World is a sock.Dialer.
 func (w *World) Dial(addr string, _ time.Duration, h sock.Handler, done func(sock.Conn, error)) {
 	w.Dials++
-	if w.Silent[addr] {
+	if w.Unanswered[addr] {
 		return
 	}
 	answer := func() {
-		accept := w.accepts[addr]
+		accept := w.listeners[addr]
 		if accept == nil {
 			done(nil, errors.New("connection refused"))
 			return
@@ -101,36 +101,36 @@
 	w.Loop.After(w.ConnectDelay, func() { w.steps = append(w.steps, answer) })
 }
 
-// Pair connects a handler with what accept returns for the far end.
+// Pair connects two ends: near is handled by h, and far by what accept returns.
 func (w *World) Pair(h sock.Handler, accept func(*Conn) sock.Handler) (near, far *Conn) {
-	near, far = &Conn{w: w, h: h}, &Conn{w: w}
+	near, far = &Conn{world: w, handler: h}, &Conn{world: w}
 	near.peer, far.peer = far, near
-	far.h = accept(far)
+	far.handler = accept(far)
 	return near, far
 }
 
-// Conn is one end of a connection.
+// Conn is one end of a connection in memory.
 type Conn struct {
-	w      *World
-	h      sock.Handler
-	peer   *Conn
-	closed bool
-	came   int  // deliveries to its handler
-	Stuck  bool // swallows what is written to it, as a machine that has vanished does
-	Slow   int  // what the other end has not made room for yet; see Flush
+	world       *World
+	handler     sock.Handler
+	peer        *Conn
+	closed      bool
+	delivered   int  // deliveries to its handler so far
+	Blackholed  bool // nothing written to it or by it arrives, as with a machine that has vanished
+	UnsentBytes int  // bytes that the other end has not made room for yet, as set by the test; see Flush
 }
 
-// Far is the other end.
+// Far returns the other end.
 func (c *Conn) Far() *Conn { return c.peer }
 
-// Unsent is what Slow says.
-func (c *Conn) Unsent() int { return c.Slow }
+// Unsent returns UnsentBytes.
+func (c *Conn) Unsent() int { return c.UnsentBytes }
 
-// Flush has the other end make room for everything.
+// Flush sets UnsentBytes to 0 and notifies the handler that the other end has made room.
 func (c *Conn) Flush() {
-	c.Slow = 0
-	if f, ok := c.h.(sock.Flusher); ok && !c.closed {
-		c.w.steps = append(c.w.steps, f.Flushed)
+	c.UnsentBytes = 0
+	if f, ok := c.handler.(sock.Flusher); ok && !c.closed {
+		c.world.steps = append(c.world.steps, f.Flushed)
 	}
 }
 
@@ -140,15 +140,15 @@
 	}
 	for rest := append([]byte(nil), b...); len(rest) > 0; {
 		n := len(rest)
-		if c.w.Chunk > 0 {
-			n = min(n, c.w.Chunk)
+		if c.world.MaxChunk > 0 {
+			n = min(n, c.world.MaxChunk)
 		}
 		part := rest[:n]
 		rest = rest[n:]
-		c.w.steps = append(c.w.steps, func() {
-			if p := c.peer; !p.closed && !p.Stuck && !c.Stuck {
-				p.came++
-				if err := p.h.Data(part); err != nil {
+		c.world.steps = append(c.world.steps, func() {
+			if p := c.peer; !p.closed && !p.Blackholed && !c.Blackholed {
+				p.delivered++
+				if err := p.handler.Data(part); err != nil {
 					p.end(err)
 				}
 			}
@@ -157,16 +157,16 @@
 	return len(b), nil
 }
 
-// Close ends the connection. Both handlers are told, the far one after what was written before.
+// Close ends the connection. Both handlers are notified, the far one after it has got what was written before.
 func (c *Conn) Close() error {
 	c.end(nil)
 	return nil
 }
 
-// CloseIfNoNewData ends the connection once it is this step's turn, unless more has been delivered than was taken.
+// CloseIfNoNewData ends the connection in a step of its own, unless more than taken deliveries have reached its handler by then.
 func (c *Conn) CloseIfNoNewData(taken int) {
-	c.w.steps = append(c.w.steps, func() {
-		if c.came == taken {
+	c.world.steps = append(c.world.steps, func() {
+		if c.delivered == taken {
 			c.end(nil)
 		}
 	})
@@ -177,36 +177,36 @@
 		return
 	}
 	c.closed = true
-	c.w.steps = append(c.w.steps, func() { c.h.Closed(err) })
-	if !c.Stuck {
-		c.w.steps = append(c.w.steps, func() { c.peer.end(io.EOF) })
+	c.world.steps = append(c.world.steps, func() { c.handler.Closed(err) })
+	if !c.Blackholed {
+		c.world.steps = append(c.world.steps, func() { c.peer.end(io.EOF) })
 	}
 }
 
 // Closed reports whether this end is closed.
 func (c *Conn) Closed() bool { return c.closed }
 
-// Peer is a handler that collects what comes, for tests that speak the other side by hand.
+// Peer is a handler that stores what it receives, for tests that write the other side of a protocol by hand.
 type Peer struct {
 	*Conn
-	In   []byte
-	Over bool
+	Received []byte
+	Ended    bool
 }
 
-// Data collects what comes.
-func (p *Peer) Data(b []byte) error { p.In = append(p.In, b...); return nil }
+// Data stores what has arrived.
+func (p *Peer) Data(b []byte) error { p.Received = append(p.Received, b...); return nil }
 
-// Closed notes the end.
-func (p *Peer) Closed(error) { p.Over = true }
+// Closed records the end of the connection.
+func (p *Peer) Closed(error) { p.Ended = true }
 
-// Take returns what has come since the last Take.
+// Take returns what has arrived since the last Take.
 func (p *Peer) Take() string {
-	s := string(p.In)
-	p.In = nil
+	s := string(p.Received)
+	p.Received = nil
 	return s
 }
 
-// Site is a small site: a safe and a keyed class, two tenants.
+// Site returns settings of a small site: a safe and a keyed class, and two tenants.
 func Site() *settings.Site {
 	return &settings.Site{Classes: []string{"read", "command"}, Tenants: []string{"a", "b"}, Zones: []string{"x", "y"},
 		Kinds: []string{"std"}, ConnIdle: 30 * time.Second, ConnectTimeout: 250 * time.Millisecond, StreamsPerConn: 2,
@@ -224,23 +224,23 @@
 		}}
 }
 
-// Replies counts the answers of calls.
+// Replies is a core.Reply that records the answers of calls.
 type Replies struct {
 	Answers []string
 	Bodies  []string
-	HasLeft bool // the caller waits no longer, though the core has not been told
+	HasLeft bool // the caller has left, though the core has not been notified
 }
 
-// ClientGone says what the test has set.
+// ClientGone returns HasLeft.
 func (r *Replies) ClientGone() bool { return r.HasLeft }
 
-// Served notes the answer and its body.
+// Served records the answer and its body.
 func (r *Replies) Served(body []byte) {
 	r.Answers, r.Bodies = append(r.Answers, "served"), append(r.Bodies, string(body))
 }
 
-// Refused notes the answer.
+// Refused records the answer.
 func (r *Replies) Refused(time.Duration, string) { r.Answers = append(r.Answers, "refused") }
 
-// Failed notes the answer.
+// Failed records the answer.
 func (r *Replies) Failed(core.Failure) { r.Answers = append(r.Answers, "failed") }
--- a/internal/wire/workerlink/ids_test.go
+++ b/internal/wire/workerlink/ids_test.go
@@ -75,7 +75,7 @@
 	p := r.peers["a:1"][0]
 	p.Write([]byte("1 OK - 900\r\nabc"))
 	for range 4 {
-		r.Pass(stallTimeout / 4)
+		r.Advance(stallTimeout / 4)
 		p.Write([]byte("x"))
 	}
 	r.Run()
@@ -84,12 +84,12 @@
 	c := r.send("wa", "3")
 	p = r.peers["a:1"][1]
 	p.Write([]byte("3 OK - 1\r\n"))
-	r.Pass(stallTimeout / 2)
+	r.Advance(stallTimeout / 2)
 	p.Write([]byte("x\r\n"))
 	r.Run()
 	r.expectOutcomes(c, decide.Good)
-	r.Pass(time.Second)
-	if p.Over {
+	r.Advance(time.Second)
+	if p.Ended {
 		t.Error("connection was closed although the answer was completed in time")
 	}
 }
--- a/internal/wire/workerlink/model_test.go
+++ b/internal/wire/workerlink/model_test.go
@@ -119,16 +119,16 @@
 			case 6:
 				m.updateWorker(host, addr, decide.HostState(n%3), time.Duration(n)*time.Hour)
 			case 7:
-				m.Pass(time.Duration(n) * 100 * time.Millisecond)
+				m.Advance(time.Duration(n) * 100 * time.Millisecond)
 			case 8:
-				m.Silent[addr] = !m.Silent[addr]
+				m.Unanswered[addr] = !m.Unanswered[addr]
 			case 9:
 				if !m.draining[host] {
 					m.pool.Load(1<<20+core.Ref(at), host, "00000000000000ff", 1)
 				}
 			case 10:
 				if len(peers) > 0 {
-					peers[n%len(peers)].Far().Slow = 100
+					peers[n%len(peers)].Far().UnsentBytes = 100
 				}
 			case 11:
 				m.clientsLeave()
@@ -144,7 +144,7 @@
 				p.Close()
 			}
 		}
-		m.Pass(time.Second)
+		m.Advance(time.Second)
 		for ref := range m.replies {
 			if givenUp := m.givenUp[ref]; givenUp && len(m.outcomes[ref]) > 0 || !givenUp && len(m.outcomes[ref]) != 1 {
 				t.Errorf("attempt %d: outcomes %v, given up %v", ref, m.outcomes[ref], givenUp)
--- a/internal/wire/workerlink/unwritten_test.go
+++ b/internal/wire/workerlink/unwritten_test.go
@@ -58,7 +58,7 @@
 	r.pool.site.StreamsPerConn = 9
 	first := r.send("wa", "")
 	conn := r.peers["a:1"][0].Far()
-	conn.Slow = 1000
+	conn.UnsentBytes = 1000
 	r.send("wa", "")
 	third := r.send("wa", "")
 	if len(r.peers["a:1"]) != 2 {
@@ -77,11 +77,11 @@
 
 	r = newRig(t)
 	r.send("wa", "")
-	r.peers["a:1"][0].Far().Slow = 1000
+	r.peers["a:1"][0].Far().UnsentBytes = 1000
 	held := r.send("wa", "")
-	r.Pass(blockedTimeout)
+	r.Advance(blockedTimeout)
 	r.expectOutcomes(held, decide.Reset)
-	if !r.peers["a:1"][0].Over {
+	if !r.peers["a:1"][0].Ended {
 		t.Error("the connection is still open")
 	}
 }
@@ -122,7 +122,7 @@
 	a, _ := newAttempt(90, "wa", "first")
 	r.pool.Send(a)
 	r.pool.Load(91, "wa", "00000000000000ff", 1)
-	r.Skip(r.pool.site.ConnectTimeout + blockedTimeout + maxLoopDelay + 1)
+	r.Stall(r.pool.site.ConnectTimeout + blockedTimeout + maxLoopDelay + 1)
 	r.pool.hosts["wa"].conns[0].connected(&wiretest.Conn{}, nil)
 	if r.written != 0 || len(r.loads) != 1 {
 		t.Errorf("%d attempts written, want 0; the order has ended %d times, want 1", r.written, len(r.loads))
--- a/internal/wire/workerlink/workerlink_test.go
+++ b/internal/wire/workerlink/workerlink_test.go
@@ -79,7 +79,7 @@
 func TestCallIsAnsweredOnce(t *testing.T) {
 	for _, chunk := range []int{0, 1, 5} {
 		r := newRig(t)
-		r.Chunk = chunk
+		r.MaxChunk = chunk
 		ref := r.send("wa", "")
 		p := r.peers["a:1"][0]
 		if got, want := p.Take(), "CALL 0000000000000001 queue=read,path=00000000000000ff,budget=1000,uniq=k 2\r\nin\r\n"; got != want {
@@ -97,12 +97,12 @@
 	r := newRig(t)
 	r.Listen("a:1", nil)
 	r.expectOutcomes(r.send("wa", ""), decide.NoConn)
-	r.Silent["b:1"] = true
+	r.Unanswered["b:1"] = true
 	ref := r.send("wb", "")
 	r.expectOutcomes(ref)
-	r.Pass(250 * time.Millisecond)
+	r.Advance(250 * time.Millisecond)
 	r.expectOutcomes(ref, decide.NoConn)
-	r.Silent["b:1"] = false
+	r.Unanswered["b:1"] = false
 	ref = r.send("wb", "")
 	r.peers["b:1"][0].Close()
 	r.Run()
@@ -146,18 +146,18 @@
 func TestUnresponsiveConnectionIsAvoided(t *testing.T) {
 	r := newRig(t)
 	a, b := r.send("wa", "1"), r.send("wa", "2")
-	r.Pass(time.Second)
+	r.Advance(time.Second)
 	r.pool.Cancel("wa", a)
 	c := r.send("wa", "3")
 	if len(r.peers["a:1"]) != 2 || strings.Contains(r.peers["a:1"][0].Take(), "CALL 3") {
 		t.Fatalf("got %d connections, want 2 with the third call on the second", len(r.peers["a:1"]))
 	}
 	r.pool.Cancel("wa", b)
-	if r.Run(); !r.peers["a:1"][0].Over || r.peers["a:1"][1].Over {
+	if r.Run(); !r.peers["a:1"][0].Ended || r.peers["a:1"][1].Ended {
 		t.Error("the unresponsive connection is still open, or the other is closed")
 	}
 	d := r.send("wa", "4")
-	r.Pass(time.Second)
+	r.Advance(time.Second)
 	p := r.peers["a:1"][1]
 	p.Write([]byte("3 OK - 0\r\n\r\n"))
 	r.Run()
@@ -192,7 +192,7 @@
 		p.Write([]byte(text))
 		r.Run()
 		r.expectOutcomes(ref, decide.Reset)
-		if !p.Over {
+		if !p.Ended {
 			t.Errorf("%.30q: the connection is still open", text)
 		}
 	}
@@ -202,16 +202,16 @@
 func TestIdleConnectionClosesBeforeWorkerTimeout(t *testing.T) {
 	r := newRig(t)
 	ref := r.send("wa", "1")
-	r.Pass(time.Minute)
+	r.Advance(time.Minute)
 	p := r.peers["a:1"][0]
-	if p.Over {
+	if p.Ended {
 		t.Fatal("closed with a call open")
 	}
 	p.Write([]byte("1 OK - 0\r\n\r\n"))
 	r.Run()
 	r.expectOutcomes(ref, decide.Good)
-	r.Pass(29 * time.Second)
-	if !p.Over || r.pool.Conns() != 0 {
-		t.Errorf("connection closed: %v, want true; %d connections left, want 0", p.Over, r.pool.Conns())
+	r.Advance(29 * time.Second)
+	if !p.Ended || r.pool.Conns() != 0 {
+		t.Errorf("connection closed: %v, want true; %d connections left, want 0", p.Ended, r.pool.Conns())
 	}
 }
