--- a/internal/fleet/admit.go
+++ b/internal/fleet/admit.go
@@ -25,8 +25,8 @@
 	}
 	if c.saved != nil && c.saved.Module != nil {
 		kept := c.kept()
-		for _, f := range c.saved.Module.Funcs {
-			if slices.ContainsFunc(f.Places, func(p decide.PlaceMemory) bool { return kept[p.Worker] }) {
+		for _, f := range c.saved.Module.Functions {
+			if slices.ContainsFunc(f.Placements, func(p decide.PlacementSnapshot) bool { return kept[p.Worker] }) {
 				c.admit.Stands(f.Name)
 			}
 		}
--- a/internal/fleet/gateway.go
+++ b/internal/fleet/gateway.go
@@ -11,10 +11,10 @@
 // Begin is what a gateway begins with.
 type Begin struct {
 	Roster roster.Saved
-	Module *decide.Memory // nil: nothing is known
-	Stands []Stand        // copies that others have found
-	List   []core.Member  // newer than the configuration's, nil if that is the newest
-	Event  uint64         // of List
+	Module *decide.Snapshot // nil: nothing is known
+	Stands []Stand          // copies that others have found
+	List   []core.Member    // newer than the configuration's, nil if that is the newest
+	Event  uint64           // of List
 }
 
 // Stand is a copy of a function that was found at a worker, at a time of the turn's clock.
@@ -27,7 +27,7 @@
 type Gateway interface {
 	Begin(b Begin) error // the list is followed from now on; clients are not served yet
 	Serve()              // clients are served
-	Remember() *decide.Memory
+	Remember() *decide.Snapshot
 	Saved() roster.Saved
 	Event() uint64      // the last event of the list that was taken
 	Ban(roster.Ban)     // another gateway leaves a worker out
--- a/internal/fleet/recover/recover_test.go
+++ b/internal/fleet/recover/recover_test.go
@@ -24,11 +24,11 @@
 func (silent) Route(uint64, string, time.Duration)         {}
 func (silent) Retract(uint64, int)                         {}
 func (silent) Refuse(uint64, time.Duration, decide.Reason) {}
-func (silent) Lose(uint64, decide.Reason)                  {}
+func (silent) Fail(uint64, decide.Reason)                  {}
 func (silent) Order(string, string, int)                   {}
-func (silent) Shelve(string, string)                       {}
+func (silent) Unload(string, string)                       {}
 func (silent) Probe(string)                                {}
-func (silent) Tell(int, []byte)                            {}
+func (silent) SendPeer(int, []byte)                        {}
 func (silent) Watch(bool)                                  {}
 func (silent) Lookup()                                     {}
 func (silent) Release(string)                              {}
@@ -47,20 +47,20 @@
 const wall = 1000 * time.Hour // of the day of these tests
 
 // memory draws what a module may have learnt by wall.
-func memory(t *rapid.T) *decide.Memory {
+func memory(t *rapid.T) *decide.Snapshot {
 	past := func(name string) time.Duration {
 		return wall - time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, name))
 	}
-	m := router(t).Remember()
-	m.GoodRate, m.GoodAt, m.Late, m.Calls, m.CalledAt = 7, past("good"), 0.5, 9, past("called")
+	m := router(t).Snapshot()
+	m.ServedRate, m.ServedAt, m.Lateness, m.RecentCalls, m.CalledAt = 7, past("good"), 0.5, 9, past("called")
 	for range rapid.IntRange(0, 3).Draw(t, "orders") {
 		m.Orders, m.Arrivals = append(m.Orders, past("order")), append(m.Arrivals, past("arrival"))
 	}
-	m.Workers = []decide.WorkerMemory{{Name: "w", Since: past("since"), Deficit: []float64{-5}, Window: 8, LostAt: past("lost"),
-		FailedAt: past("failed"), FullUntil: past("full") + 2*time.Minute, Aside: []time.Duration{past("aside") + time.Minute},
-		Length: []time.Duration{time.Second}, Cold: []time.Duration{past("cold")}}}
-	m.Funcs = []decide.FunctionMemory{{Name: "f", Lanes: 2, UsedAt: past("used"), Calls: 3, Places: []decide.PlaceMemory{
-		{Worker: "w", LastSend: past("sent"), Proven: past("proven"), Loaded: true, Ordered: -past("ordered")}}}}
+	m.Workers = []decide.WorkerSnapshot{{Name: "w", Since: past("since"), Deficit: []float64{-5}, Window: 8, LossAt: past("lost"),
+		FailedAt: past("failed"), FullUntil: past("full") + 2*time.Minute, EjectedUntil: []time.Duration{past("aside") + time.Minute},
+		EjectedFor: []time.Duration{time.Second}, ColdSends: []time.Duration{past("cold")}}}
+	m.Functions = []decide.FunctionSnapshot{{Name: "f", Lanes: 2, UsedAt: past("used"), RecentCalls: 3, Placements: []decide.PlacementSnapshot{
+		{Worker: "w", SentAt: past("sent"), ConfirmedAt: past("proven"), Loaded: true, OrderEnd: -past("ordered")}}}}
 	return m
 }
 
@@ -75,13 +75,13 @@
 		step := time.Duration(rapid.Int64Range(-int64(500*time.Hour), int64(500*time.Hour)).Draw(t, "step"))
 		saved := func() *Saved {
 			c := *m
-			c.Orders, c.Arrivals, c.Refilled = slices.Clone(m.Orders), slices.Clone(m.Arrivals), slices.Clone(m.Refilled)
-			c.Tokens, c.Turn = slices.Clone(m.Tokens), slices.Clone(m.Turn)
+			c.Orders, c.Arrivals, c.RefilledAt = slices.Clone(m.Orders), slices.Clone(m.Arrivals), slices.Clone(m.RefilledAt)
+			c.Tokens, c.HeldDeficit = slices.Clone(m.Tokens), slices.Clone(m.HeldDeficit)
 			w := m.Workers[0]
-			w.Aside, w.Length, w.Cold, w.Deficit = slices.Clone(w.Aside), slices.Clone(w.Length), slices.Clone(w.Cold), slices.Clone(w.Deficit)
-			f := m.Funcs[0]
-			f.Places = slices.Clone(f.Places)
-			c.Workers, c.Funcs = []decide.WorkerMemory{w}, []decide.FunctionMemory{f}
+			w.EjectedUntil, w.EjectedFor, w.ColdSends, w.Deficit = slices.Clone(w.EjectedUntil), slices.Clone(w.EjectedFor), slices.Clone(w.ColdSends), slices.Clone(w.Deficit)
+			f := m.Functions[0]
+			f.Placements = slices.Clone(f.Placements)
+			c.Workers, c.Functions = []decide.WorkerSnapshot{w}, []decide.FunctionSnapshot{f}
 			return &Saved{At: Stamp{Wall: wall, Boot: "a", Up: time.Hour}, Module: &c, Former: 7}
 		}
 		for _, boot := range []string{"a", "b", ""} {
@@ -91,18 +91,18 @@
 			if len(verdicts) != 13 {
 				t.Fatalf("%d verdicts", len(verdicts))
 			}
-			if err := router(t).Recall(s.Module, now.Wall); err != nil {
+			if err := router(t).Restore(s.Module, now.Wall); err != nil {
 				t.Fatalf("boot %q, age %v, step %v: %v", boot, age, step, err)
 			}
-			p := s.Module.Funcs[0].Places[0]
+			p := s.Module.Functions[0].Placements[0]
 			if boot == "a" {
-				if want := m.Funcs[0].Places[0].LastSend + step; p.LastSend != want || !p.Loaded {
-					t.Fatalf("age %v, step %v: last send %v, want %v", age, step, p.LastSend, want)
+				if want := m.Functions[0].Placements[0].SentAt + step; p.SentAt != want || !p.Loaded {
+					t.Fatalf("age %v, step %v: last send %v, want %v", age, step, p.SentAt, want)
 				}
 				continue
 			}
-			if p.Loaded || p.LastSend != now.Wall || slices.ContainsFunc(s.Module.Orders, func(x time.Duration) bool { return x != now.Wall }) ||
-				s.Module.Workers[0].Cold[0] != now.Wall || s.Module.Workers[0].Aside[0] != 0 {
+			if p.Loaded || p.SentAt != now.Wall || slices.ContainsFunc(s.Module.Orders, func(x time.Duration) bool { return x != now.Wall }) ||
+				s.Module.Workers[0].ColdSends[0] != now.Wall || s.Module.Workers[0].EjectedUntil[0] != 0 {
 				t.Fatalf("of unknown age, and believed: %+v", s.Module)
 			}
 		}
--- a/internal/fleet/recover/trust.go
+++ b/internal/fleet/recover/trust.go
@@ -92,10 +92,10 @@
 	List   []decide.Host // the workers as the list had them then
 	Addrs  []string      // where they listen, in the same order
 	Roster roster.Saved
-	Marks  Checkpoints    // who was left out by hand, with the order of it
-	Module *decide.Memory // what the module had learnt; nil if it could not be kept
-	Former float64        // calls a second that this gateway served in normal service, 0 if not known
-	Alive  int            // gateways of the fleet, this one too
+	Marks  Checkpoints      // who was left out by hand, with the order of it
+	Module *decide.Snapshot // what the module had learnt; nil if it could not be kept
+	Former float64          // calls a second that this gateway served in normal service, 0 if not known
+	Alive  int              // gateways of the fleet, this one too
 }
 
 const (
@@ -135,7 +135,7 @@
 func (s *Saved) Trusted(now Stamp, l Limits) []Verdict {
 	age, known := s.At.Age(now)
 	if m := s.Module; m != nil {
-		if len(m.Classes) != l.Classes || len(m.Turn) != max(1, l.Tenants) { // of other settings
+		if len(m.Classes) != l.Classes || len(m.HeldDeficit) != max(1, l.Tenants) { // of other settings
 			s.Module = nil
 		} else if known {
 			shift(m, now.Wall-age-s.At.Wall, now.Wall)
@@ -144,10 +144,10 @@
 		}
 	}
 	if m := s.Module; m != nil {
-		m.Late, m.Doubt, m.Seconds = 0, 0, 0 // of calls that have long ended
-		m.GoodRate, m.GoodAt = s.Former, now.Wall
+		m.Lateness, m.OverdueShare, m.HedgeTokens = 0, 0, 0 // of calls that have long ended
+		m.ServedRate, m.ServedAt = s.Former, now.Wall
 		if known && age > rateAge {
-			m.GoodRate = 0
+			m.ServedRate = 0
 		}
 	}
 	for i := range s.Roster.Cold {
@@ -161,7 +161,7 @@
 }
 
 // shift moves every time of a memory by so much, and none past now.
-func shift(m *decide.Memory, by, now time.Duration) {
+func shift(m *decide.Snapshot, by, now time.Duration) {
 	move := func(times ...*time.Duration) {
 		for _, t := range times {
 			if *t != 0 {
@@ -182,57 +182,57 @@
 			move(&times[i])
 		}
 	}
-	all(m.Refilled)
+	all(m.RefilledAt)
 	all(m.Arrivals)
 	all(m.Orders)
-	move(&m.GoodAt, &m.CalledAt)
+	move(&m.ServedAt, &m.CalledAt)
 	for i := range m.Workers {
 		w := &m.Workers[i]
-		all(w.Cold)
-		move(&w.LostAt, &w.ShrunkAt, &w.FailedAt)
+		all(w.ColdSends)
+		move(&w.LossAt, &w.ShrunkAt, &w.FailedAt)
 		ahead(&w.FullUntil)
-		for k := range w.Aside {
-			ahead(&w.Aside[k])
+		for k := range w.EjectedUntil {
+			ahead(&w.EjectedUntil[k])
 		}
 	}
-	for i := range m.Funcs {
-		f := &m.Funcs[i]
+	for i := range m.Functions {
+		f := &m.Functions[i]
 		move(&f.UsedAt)
-		for k := range f.Places {
-			p := &f.Places[k]
-			move(&p.LastSend, &p.Proven)
-			ahead(&p.Ordered)
+		for k := range f.Placements {
+			p := &f.Placements[k]
+			move(&p.SentAt, &p.ConfirmedAt)
+			ahead(&p.OrderEnd)
 		}
 	}
 }
 
 // doubt makes of a memory of unknown age one that is safe at any: guards count as spent just now, and no copy is known to
 // stand.
-func doubt(m *decide.Memory, now time.Duration) {
+func doubt(m *decide.Snapshot, now time.Duration) {
 	for i := range m.Orders {
 		m.Orders[i] = now
 	}
 	m.Arrivals = nil
-	for i := range m.Refilled {
-		m.Refilled[i], m.Tokens[i], m.Turn[i] = now, 0, 0
+	for i := range m.RefilledAt {
+		m.RefilledAt[i], m.Tokens[i], m.HeldDeficit[i] = now, 0, 0
 	}
 	m.CalledAt = now
 	for i := range m.Workers {
 		w := &m.Workers[i]
-		for k := range w.Cold {
-			w.Cold[k] = now
+		for k := range w.ColdSends {
+			w.ColdSends[k] = now
 		}
-		w.LostAt, w.ShrunkAt, w.FailedAt, w.FullUntil, w.Lost, w.Part = 0, 0, 0, 0, 0, 0
-		clear(w.Aside)
-		clear(w.Length)
+		w.LossAt, w.ShrunkAt, w.FailedAt, w.FullUntil, w.Losses, w.LatencyRatio = 0, 0, 0, 0, 0, 0
+		clear(w.EjectedUntil)
+		clear(w.EjectedFor)
 		clear(w.Deficit)
 	}
-	for i := range m.Funcs {
-		f := &m.Funcs[i]
+	for i := range m.Functions {
+		f := &m.Functions[i]
 		f.UsedAt = now
-		for k := range f.Places {
-			p := &f.Places[k]
-			p.LastSend, p.Proven, p.Loaded, p.Ordered = now, 0, false, 0
+		for k := range f.Placements {
+			p := &f.Placements[k]
+			p.SentAt, p.ConfirmedAt, p.Loaded, p.OrderEnd = now, 0, false, 0
 		}
 	}
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -187,11 +187,11 @@
 }
 
 // standing are the copies that a memory knows to have been found.
-func standing(m *decide.Memory) (out []Stand) {
-	for _, f := range m.Funcs {
-		for _, p := range f.Places {
-			if p.Loaded && p.Proven > 0 {
-				out = append(out, Stand{f.Name, p.Worker, p.Proven})
+func standing(m *decide.Snapshot) (out []Stand) {
+	for _, f := range m.Functions {
+		for _, p := range f.Placements {
+			if p.Loaded && p.ConfirmedAt > 0 {
+				out = append(out, Stand{f.Name, p.Worker, p.ConfirmedAt})
 			}
 		}
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -151,15 +151,15 @@
 // idle is the side of a hollow gateway that has neither clients nor a list.
 type idle struct{}
 
-func (idle) Begin(fleet.Begin) error  { return nil }
-func (idle) Serve()                   {}
-func (idle) Remember() *decide.Memory { return &decide.Memory{} }
-func (idle) Saved() (s roster.Saved)  { return s }
-func (idle) Event() uint64            { return 1 }
-func (idle) Ban(roster.Ban)           {}
-func (idle) CallBack(string)          {}
-func (idle) AssumeRate(float64, int)  {}
-func (idle) Hold(map[string]bool)     {}
+func (idle) Begin(fleet.Begin) error    { return nil }
+func (idle) Serve()                     {}
+func (idle) Remember() *decide.Snapshot { return &decide.Snapshot{} }
+func (idle) Saved() (s roster.Saved)    { return s }
+func (idle) Event() uint64              { return 1 }
+func (idle) Ban(roster.Ban)             {}
+func (idle) CallBack(string)            {}
+func (idle) AssumeRate(float64, int)    {}
+func (idle) Hold(map[string]bool)       {}
 
 // idleAgent does nothing that was agreed.
 type idleAgent struct{}
--- a/internal/lab/scale/routing.go
+++ b/internal/lab/scale/routing.go
@@ -33,11 +33,11 @@
 // Site is the target's settings as a router has them.
 func Site() decide.Settings {
 	class := func(aim, deadline time.Duration, worth float64, effect decide.Effect) decide.Class {
-		return decide.Class{Aim: aim, Deadline: deadline, Worth: worth, Effect: effect, Group: decide.SameZone, Window: 8 * time.Second}
+		return decide.Class{Aim: aim, Deadline: deadline, Worth: worth, Effect: effect, KeyScope: decide.SameZone, Window: 8 * time.Second}
 	}
 	return decide.Settings{Classes: []decide.Class{class(time.Second, 4*time.Second, 1, decide.Safe), class(2*time.Second, 6*time.Second, 3, decide.Keyed)},
 		Tenants: []decide.Tenant{{Share: 0.5}, {Share: 0.5}}, Gateways: Target.Gateways, Subscribe: true, MaxAttempts: 3, Parallel: true,
-		Cancelling: true, ColdFrom: 0.18, ColdFor: 14 * time.Second, FallMultiple: 2.5, FallFor: 3 * time.Second, KeepAlive: 10 * time.Second,
+		Cancelling: true, ColdFrom: 0.18, ColdFor: 14 * time.Second, CollapseMultiple: 2.5, CollapseAfter: 3 * time.Second, KeepAlive: 10 * time.Second,
 		Orders: true, LoadsOnMiss: true, MarksCold: true, FreeOrders: 2, OrderShare: 0.3, OrderWindow: 10 * time.Second,
 		OrderTimeout: 10 * time.Second}
 }
@@ -85,16 +85,16 @@
 // Refuse forgets the call.
 func (p *Player) Refuse(id uint64, _ time.Duration, _ decide.Reason) { delete(p.shots, id) }
 
-// Lose forgets the call.
-func (p *Player) Lose(id uint64, _ decide.Reason) { delete(p.shots, id) }
+// Fail forgets the call.
+func (p *Player) Fail(id uint64, _ decide.Reason) { delete(p.shots, id) }
 
 // unasked is what a router asks for besides, and gets nothing of here.
 type unasked struct{}
 
 func (unasked) Order(string, string, int)    {}
-func (unasked) Shelve(string, string)        {}
+func (unasked) Unload(string, string)        {}
 func (unasked) Probe(string)                 {}
-func (unasked) Tell(int, []byte)             {}
+func (unasked) SendPeer(int, []byte)         {}
 func (unasked) Watch(bool)                   {}
 func (unasked) Lookup()                      {}
 func (unasked) Release(string)               {}
@@ -127,7 +127,7 @@
 			a := p.due[0]
 			p.due = p.due[1:]
 			delete(p.shots, a.id)
-			took += p.handle(decide.Result{ID: a.id, Shot: a.shot, Host: a.host, Outcome: decide.Good, Took: callTook, Final: true, Note: decide.FoundWarm, Crowd: -1})
+			took += p.handle(decide.Result{ID: a.id, Attempt: a.shot, Host: a.host, Outcome: decide.Good, Took: callTook, Final: true, Note: decide.FoundWarm, Contention: -1})
 		}
 		took += p.handle(decide.Wake{Token: "sweep"})
 	}
--- a/internal/lifecycle/agreed.go
+++ b/internal/lifecycle/agreed.go
@@ -116,9 +116,9 @@
 	if d.core == nil {
 		return nil, nil
 	}
-	for _, f := range d.core.Remember().Funcs {
+	for _, f := range d.core.Remember().Functions {
 		here, other := false, false
-		for _, p := range f.Places {
+		for _, p := range f.Placements {
 			if p.Loaded {
 				here, other = here || p.Worker == id, other || p.Worker != id
 			}
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -50,7 +50,7 @@
 		workers = &confined{workers, g}
 	}
 	set := c.Site.Decide
-	set.ToldWithin = bulletin.MaxPropagation
+	set.MaxListDelay = bulletin.MaxPropagation
 	if g.core, err = core.New(loop, set, c.Seed, workers, observe, log.Named("core")); err != nil {
 		return err
 	}
--- a/internal/lifecycle/confined.go
+++ b/internal/lifecycle/confined.go
@@ -17,7 +17,7 @@
 // Send looks once more where the call may run. One that may not is as if it had never left, and another worker is looked for.
 func (k *confined) Send(a core.Attempt) {
 	if zones, _, why, _ := k.g.agreement.Place(a.Call); why != "" || zones != nil && !slices.Contains(zones, k.g.agreement.ZoneOf(a.Host)) {
-		k.g.core.Ended(a.Ref, core.AttemptResult{Outcome: decide.Nop})
+		k.g.core.Ended(a.Ref, core.AttemptResult{Outcome: decide.NotSent})
 		return
 	}
 	k.Workers.Send(a)
--- a/internal/lifecycle/figures.go
+++ b/internal/lifecycle/figures.go
@@ -45,7 +45,7 @@
 	for outcome, n := range trace.Attempts {
 		count("attempts."+decide.Outcome(outcome).String(), n)
 	}
-	for why := decide.OverShare; why < decide.ReasonsNumber; why++ {
+	for why := decide.OverShare; why < decide.ReasonCount; why++ {
 		count("given_up."+why.String(), trace.GivenUp[why])
 	}
 }
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -71,7 +71,7 @@
 			}
 		}
 		for _, s := range b.Stands {
-			m.Stand(s.Function, s.Worker, since[s.Worker], s.At)
+			m.AddCopy(s.Function, s.Worker, since[s.Worker], s.At)
 		}
 		if err := g.core.Recall(m); err != nil {
 			g.log.Warn("copies that others have found are not known here", zap.Error(err))
@@ -88,8 +88,8 @@
 	}
 }
 
-func (p *peers) Remember() *decide.Memory { return p.core.Remember() }
-func (p *peers) Saved() roster.Saved      { return p.core.Saved() }
+func (p *peers) Remember() *decide.Snapshot { return p.core.Remember() }
+func (p *peers) Saved() roster.Saved        { return p.core.Saved() }
 
 // Event is the last event of the list.
 func (p *peers) Event() uint64 {
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -153,7 +153,7 @@
 		t.Errorf("refused: %v", err)
 	}
 	old.refuse = nil
-	old.state.Module = &decide.Memory{Funcs: []decide.FunctionMemory{{Name: strings.Repeat("x", maxState)}}} // too much: the bans go without it
+	old.state.Module = &decide.Snapshot{Functions: []decide.FunctionSnapshot{{Name: strings.Repeat("x", maxState)}}} // too much: the bans go without it
 	up, got, s, err := Take(dir, me)
 	if err != nil || s.Module != nil || !reflect.DeepEqual(s.Roster, old.state.Roster) {
 		t.Fatal(s, err)
--- a/internal/lifecycle/handover/state.go
+++ b/internal/lifecycle/handover/state.go
@@ -31,9 +31,9 @@
 type State struct {
 	Version int `json:"version"`
 	Who
-	Roster roster.Saved   `json:"roster"`
-	Module *decide.Memory `json:"module,omitempty"` // only over the link: in a file it would be old
-	Agreed []byte         `json:"agreed,omitempty"` // what the fleet has agreed, likewise
+	Roster roster.Saved     `json:"roster"`
+	Module *decide.Snapshot `json:"module,omitempty"` // only over the link: in a file it would be old
+	Agreed []byte           `json:"agreed,omitempty"` // what the fleet has agreed, likewise
 }
 
 // ErrNone says that nothing was handed on.
--- a/internal/ranking/alternatives_test.go
+++ b/internal/ranking/alternatives_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// Published ways to find the first workers of a function among very many, to be weighed against that of Index: each returns
-// the first eight of a function, as one that is asked for the first time.
+// Other published methods to find the first workers of a function among very many, for comparison with Index. Each returns the
+// first eight workers of a function that is requested for the first time.
 const firstAsked = 8
 
-// scan selects the first by rendezvous from all hashes: a complete rank of which only a prefix is kept.
+// scan ranks all hashes by rendezvous hashing and keeps only the first.
 func scan(hashes []uint64, seed uint64) (out []uint64) {
 	for _, h := range hashes {
 		rank := Mix(seed, h)
@@ -24,7 +24,8 @@
 	return out
 }
 
-// skeleton selects by rendezvous among the buckets of a hash's first bits, then among the workers of the bucket.
+// skeleton divides the workers into buckets by the first bits of their hashes. It selects a bucket by a hash of the function, then
+// the workers of the bucket by rendezvous hashing.
 type skeleton struct {
 	bits    int
 	buckets [][]uint64
@@ -47,7 +48,7 @@
 	return scan(bucket, seed)
 }
 
-// points is a ring on which each worker has so many points.
+// points returns a ring on which each worker has the given number of points.
 func points(hashes []uint64, each int) *ring[int] {
 	var all []Entry[int]
 	for i, h := range hashes {
@@ -75,28 +76,28 @@
 	return out
 }
 
-// BenchmarkAlternatives is what the first eight workers of a new function cost, and the load of the busiest worker by its mean with
-// 100 functions a worker, told as busiest. Bytes are those of the index for each worker.
+// BenchmarkAlternatives measures the cost of the first eight workers of a new function. "busiest" is the load of the busiest
+// worker divided by the mean load, with 100 functions per worker. "B/worker" is the size of the index in bytes per worker.
 func BenchmarkAlternatives(b *testing.B) {
 	for _, n := range []int{10_000, 81_000} {
 		all := hashes(n)
-		busiest := func(b *testing.B, of func(seed uint64) int) {
+		busiest := func(b *testing.B, firstOf func(seed uint64) int) {
 			load, most := make([]int, n), 0
 			for f := range 100 * n {
-				w := of(Mix(uint64(f), 3))
+				w := firstOf(Mix(uint64(f), 3))
 				load[w]++
 				most = max(most, load[w])
 			}
 			b.ReportMetric(float64(most)/100, "busiest")
 		}
-		run := func(name string, bytes float64, first func(seed uint64), one func(seed uint64) int) {
+		run := func(name string, bytes float64, first func(seed uint64), firstOf func(seed uint64) int) {
 			b.Run(fmt.Sprintf("%s/workers=%d", name, n), func(b *testing.B) {
 				for i := uint64(0); b.Loop(); i++ {
 					first(i)
 				}
 				b.ReportMetric(bytes, "B/worker")
-				if one != nil {
-					busiest(b, one)
+				if firstOf != nil {
+					busiest(b, firstOf)
 				}
 			})
 		}
@@ -127,7 +128,7 @@
 		x.Change(nil, entries)
 		run("multi-probe, as Index", 32, func(seed uint64) {
 			var o Order[int]
-			x.At(&o, Wants{Hash: seed}, firstAsked-1)
+			x.At(&o, Query{Hash: seed}, firstAsked-1)
 		}, func(seed uint64) int { return x.all.workers[x.all.nearest(seed, 0)] })
 	}
 }
--- a/internal/ranking/ranking.go
+++ b/internal/ranking/ranking.go
@@ -1,11 +1,12 @@
-// Package ranking orders workers for functions so that all gateways agree on the first of them without asking, and so that one
-// worker more or less moves about its own share of the functions. It knows nothing of what is decided by the order, and does no
-// I/O. An Index is not safe for concurrent use.
+// Package ranking orders workers for functions so that all gateways agree on the first of them without communicating, and
+// so that adding or removing a worker moves only about that worker's share of the functions. It makes no decisions and does
+// no I/O. An Index is not safe for concurrent use.
 //
-// Few workers are ranked whole, by rendezvous hashing (Thaler and Ravishankar, 1998): the work grows with their number. Many
-// are ranked one by one as they are asked for, by multi-probe consistent hashing (Appleton and O'Reilly, 2015): a function has a
-// series of points on a ring for each place in its order, and the worker that follows one of them most closely has the place.
-// From the one to the other functions change one by one as the number of workers grows from Whole to twice that.
+// A small number of workers is ranked as a whole, by rendezvous hashing (Thaler and Ravishankar, 1998), whose cost grows
+// with the number of workers. A large number is ranked one by one on demand, by multi-probe consistent hashing (Appleton and
+// O'Reilly, 2015): a function has several points on a hash ring for each place in its order, and the worker that follows one
+// of them most closely gets the place. As the number of workers grows from MaxWhole to twice that, functions change from the
+// first method to the second one after another.
 package ranking
 
 import (
@@ -13,16 +14,20 @@
 	"slices"
 )
 
-// Bounds of the two ways.
+// Limits of the two methods.
 const (
-	Whole  = 256 // workers up to which all functions are ranked whole; from twice as many on none is
-	Probes = 12  // points for each place: the busiest tenth of workers has up to 1.2 times the mean then, see TestFirstPlacesAreSpread
-	Most   = 64  // workers that a function of many is ranked: the first Near of them are of the gateway's own zone where there
-	Near   = 32  // are enough homes in each, and the others the way out of a zone that is full or lost
-	tries  = 4   // places that are tried for each of them, since one worker may have several
+	MaxWhole = 256 // up to this number of workers all functions are ranked over all; from twice as many on none is
+	Probes   = 12  // points for each place; the busiest tenth of workers then gets up to 1.2 times the mean
+
+	// MaxRanked is how many workers are ranked for a function that is not ranked over all of them. If it has enough homes
+	// in each zone, the first LocalRanked are in the gateway's own zone, and the others serve when that is full or lost.
+	MaxRanked   = 64
+	LocalRanked = 32
+
+	triesPerRank = 4 // places tried for each ranked worker, as several places may have the same worker
 )
 
-// Mix is a hash of two hashes.
+// Mix returns a hash of two hashes.
 func Mix(a, b uint64) uint64 {
 	x := a ^ b*0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -44,21 +49,21 @@
 	version uint64
 }
 
-// Order is what is known of a function's order. The zero value knows nothing.
+// Order caches the part of a function's order that was calculated so far. The zero value is empty.
 type Order[W comparable] struct {
-	version uint64
-	zones   []int // where alone its workers may be
-	near    bool  // the workers of one zone come before the others
-	span    int   // places over which gateways spread
-	ranked  []W
-	place   int // the next to be tried
+	version    uint64
+	zones      []int // the only zones of its workers; empty for any
+	localFirst bool  // workers of the gateway's own zone come before the others
+	homes      int   // number of homes over which the gateways are spread; 0 if they are not
+	ranked     []W
+	nextPlace  int // next place to try
 }
 
-// Len is the number of workers.
+// Len returns the number of workers.
 func (x *Index[W]) Len() int { return len(x.all.hashes) }
 
-// In is the number of workers in any of the zones.
-func (x *Index[W]) In(zones []int) (n int) {
+// CountIn returns the number of workers in any of the zones.
+func (x *Index[W]) CountIn(zones []int) (n int) {
 	for _, z := range zones {
 		if r := x.zones[z]; r != nil {
 			n += len(r.hashes)
@@ -67,7 +72,7 @@
 	return n
 }
 
-// Change removes workers and adds others. Removed entries are as they were added.
+// Change removes workers and adds others. Removed entries have to equal the added ones.
 func (x *Index[W]) Change(removed, added []Entry[W]) {
 	if len(removed)+len(added) == 0 {
 		return
@@ -77,42 +82,42 @@
 	if x.zones == nil {
 		x.zones = map[int]*ring[W]{}
 	}
-	for zone, of := range byZone(removed) {
-		x.zones[zone].change(of, nil)
+	for zone, entries := range byZone(removed) {
+		x.zones[zone].change(entries, nil)
 	}
-	for zone, of := range byZone(added) {
+	for zone, entries := range byZone(added) {
 		if x.zones[zone] == nil {
 			x.zones[zone] = &ring[W]{}
 		}
-		x.zones[zone].change(nil, of)
+		x.zones[zone].change(nil, entries)
 	}
 }
 
 func byZone[W comparable](entries []Entry[W]) map[int][]Entry[W] {
-	out := map[int][]Entry[W]{}
+	zones := map[int][]Entry[W]{}
 	for _, e := range entries {
-		out[e.Zone] = append(out[e.Zone], e)
+		zones[e.Zone] = append(zones[e.Zone], e)
 	}
-	return out
+	return zones
 }
 
-// Wants is what a gateway asks of a function's order.
-type Wants struct {
+// Query describes the order that a gateway requests for a function.
+type Query struct {
 	Hash  uint64 // of the function
-	Zones []int  // where alone its workers may be; none for anywhere
-	Homes int    // workers that all gateways together use
-	Zone  int    // the gateway's own
-	Self  int    // its number among the gateways
+	Zones []int  // the only zones in which its workers may be; empty for any
+	Homes int    // number of workers that all gateways together use
+	Zone  int    // zone of the gateway
+	Self  int    // number of the gateway among all
 }
 
-// At returns the i-th worker in a function's order; false if there is none, or the order is not carried on so far. What is
-// ranked by whole is the same for all wants but the hash: the caller leaves out what it must not use.
-func (x *Index[W]) At(o *Order[W], w Wants, i int) (worker W, ok bool) {
-	whole := x.whole(w.Hash)
-	if o.version != x.version || !whole && o.differs(w) {
-		o.begin(x, w, whole)
+// At returns the i-th worker in a function's order, and false if there is none or the order does not go so far. An order
+// over all workers depends only on Query.Hash: the caller has to skip workers that it must not use.
+func (x *Index[W]) At(o *Order[W], query Query, i int) (worker W, ok bool) {
+	whole := x.ranksWhole(query.Hash)
+	if o.version != x.version || !whole && o.differs(query) {
+		o.reset(x, query, whole)
 	}
-	for !whole && len(o.ranked) <= i && o.extend(x, w) {
+	for !whole && len(o.ranked) <= i && o.extend(x, query) {
 	}
 	if i >= len(o.ranked) {
 		return worker, false
@@ -120,34 +125,34 @@
 	return o.ranked[i], true
 }
 
-// Share is how many homes of a function one gateway uses at most.
-func (x *Index[W]) Share(hash uint64) int {
-	if x.whole(hash) {
-		return max(Near, x.Len())
+// MaxHomes returns how many homes of a function one gateway uses at most.
+func (x *Index[W]) MaxHomes(hash uint64) int {
+	if x.ranksWhole(hash) {
+		return max(LocalRanked, x.Len())
 	}
-	return Near
+	return LocalRanked
 }
 
-// Among reports whether a worker is one of the first n that were asked for.
-func (o *Order[W]) Among(worker W, n int) bool {
+// InFirst reports whether a worker is among the first n of the order, as far as it was calculated.
+func (o *Order[W]) InFirst(worker W, n int) bool {
 	return slices.Contains(o.ranked[:min(n, len(o.ranked))], worker)
 }
 
-// whole reports whether a function is ranked over all workers. Where there are between Whole and twice as many it depends on
-// the function, so that no single worker more or less changes the order of all.
-func (x *Index[W]) whole(hash uint64) bool {
-	return len(x.all.hashes) <= Whole+int(Mix(hash, Whole)%Whole)
+// ranksWhole reports whether a function is ranked over all workers. Between MaxWhole workers and twice as many this depends
+// on the function, so that a single worker more or less does not change the order of all functions.
+func (x *Index[W]) ranksWhole(hash uint64) bool {
+	return len(x.all.hashes) <= MaxWhole+int(Mix(hash, MaxWhole)%MaxWhole)
 }
 
-// differs reports whether the order was begun for other wants. The number of homes is an estimate that changes with each call,
-// so it has to double or halve.
-func (o *Order[W]) differs(w Wants) bool {
-	return !slices.Equal(o.zones, w.Zones) || w.Homes >= 2*max(Most, o.span) || o.span > 0 && w.Homes < o.span/2
+// differs reports whether the order was calculated for a different query. The number of homes is an estimate that changes
+// with each call, so only doubling or halving counts.
+func (o *Order[W]) differs(query Query) bool {
+	return !slices.Equal(o.zones, query.Zones) || query.Homes >= 2*max(MaxRanked, o.homes) || o.homes > 0 && query.Homes < o.homes/2
 }
 
-// begin starts an order anew.
-func (o *Order[W]) begin(x *Index[W], w Wants, whole bool) {
-	o.version, o.zones, o.place, o.span, o.near = x.version, w.Zones, 0, 0, false
+// reset starts the order anew for a query.
+func (o *Order[W]) reset(x *Index[W], query Query, whole bool) {
+	o.version, o.zones, o.nextPlace, o.homes, o.localFirst = x.version, query.Zones, 0, 0, false
 	o.ranked = o.ranked[:0]
 	if whole {
 		o.ranked = append(o.ranked, x.all.workers...)
@@ -156,41 +161,41 @@
 		for i := range rank {
 			rank[i] = i
 		}
-		slices.SortFunc(rank, func(a, b int) int { return cmp.Compare(Mix(w.Hash, hashes[a]), Mix(w.Hash, hashes[b])) })
-		for i, n := range rank {
-			o.ranked[i] = x.all.workers[n]
+		slices.SortFunc(rank, func(a, b int) int { return cmp.Compare(Mix(query.Hash, hashes[a]), Mix(query.Hash, hashes[b])) })
+		for i, index := range rank {
+			o.ranked[i] = x.all.workers[index]
 		}
 		return
 	}
-	if w.Homes >= Most { // more than a gateway uses: each uses its part of them, those of its own zone first
-		o.span = w.Homes
-		o.near = len(w.Zones) == 0 && x.zones[w.Zone] != nil
-		homes := w.Homes
-		if o.near {
+	if query.Homes >= MaxRanked { // more than one gateway uses: each uses a part of them, first in its own zone
+		o.homes = query.Homes
+		o.localFirst = len(query.Zones) == 0 && x.zones[query.Zone] != nil
+		homes := query.Homes
+		if o.localFirst {
 			homes /= len(x.zones)
 		}
-		o.place = int(Mix(uint64(w.Self), w.Hash) % uint64(max(1, homes-Most+1)))
+		o.nextPlace = int(Mix(uint64(query.Self), query.Hash) % uint64(max(1, homes-MaxRanked+1)))
 	}
 }
 
-// extend ranks one worker more, and reports whether it could.
-func (o *Order[W]) extend(x *Index[W], w Wants) bool {
-	if len(o.ranked) >= Most {
+// extend ranks one more worker, and reports whether it could.
+func (o *Order[W]) extend(x *Index[W], query Query) bool {
+	if len(o.ranked) >= MaxRanked {
 		return false
 	}
-	for range tries * Most {
-		r, seed := &x.all, w.Hash
+	for range triesPerRank * MaxRanked {
+		r, seed := &x.all, query.Hash
 		switch {
 		case len(o.zones) > 0:
-			r = x.zones[o.zones[o.place%len(o.zones)]]
-		case o.near && len(o.ranked) < Near:
-			r, seed = x.zones[w.Zone], Mix(w.Hash, uint64(w.Zone)+1)
+			r = x.zones[o.zones[o.nextPlace%len(o.zones)]]
+		case o.localFirst && len(o.ranked) < LocalRanked:
+			r, seed = x.zones[query.Zone], Mix(query.Hash, uint64(query.Zone)+1)
 		}
-		o.place++
+		o.nextPlace++
 		if r == nil || len(r.hashes) == 0 {
 			continue
 		}
-		if worker := r.workers[r.nearest(seed, o.place-1)]; !slices.Contains(o.ranked, worker) {
+		if worker := r.workers[r.nearest(seed, o.nextPlace-1)]; !slices.Contains(o.ranked, worker) {
 			o.ranked = append(o.ranked, worker)
 			return true
 		}
--- a/internal/ranking/ring.go
+++ b/internal/ranking/ring.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// ring is workers by their hashes, in order.
+// ring holds workers, sorted by their hashes.
 type ring[W comparable] struct {
 	hashes  []uint64
 	workers []W
 }
 
-// nearest is the number of the worker that follows one of a place's points most closely.
+// nearest returns the index of the worker that follows one of a place's points most closely.
 func (r *ring[W]) nearest(seed uint64, place int) (at int) {
 	best := ^uint64(0)
 	for p := range Probes {
@@ -20,18 +20,18 @@
 		if i == len(r.hashes) {
 			i = 0
 		}
-		if d := r.hashes[i] - point; d <= best { // it wraps as the ring does
+		if d := r.hashes[i] - point; d <= best { // the difference wraps around like the ring
 			best, at = d, i
 		}
 	}
 	return at
 }
 
-const fewChanges = 16 // that are made one by one; more are merged at once
+const maxSingleChanges = 16 // up to this many changes are applied one by one; more are merged in one pass
 
 // change removes and adds workers.
 func (r *ring[W]) change(removed, added []Entry[W]) {
-	if len(removed)+len(added) > fewChanges {
+	if len(removed)+len(added) > maxSingleChanges {
 		r.merge(removed, added)
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-// find is the place of a worker, -1 if it is not there. Several may have one hash.
+// find returns the index of a worker, -1 if it is not there. Several workers may have the same hash.
 func (r *ring[W]) find(e Entry[W]) int {
 	i, _ := slices.BinarySearch(r.hashes, e.Hash)
 	for ; i < len(r.hashes) && r.hashes[i] == e.Hash; i++ {
@@ -57,7 +57,7 @@
 	return -1
 }
 
-// merge is change for many at once.
+// merge does the same as change in one pass, for many entries.
 func (r *ring[W]) merge(removed, added []Entry[W]) {
 	gone := make(map[W]bool, len(removed))
 	for _, e := range removed {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -130,7 +130,7 @@
 			return nil, &FieldError{fmt.Sprintf("classes[%d].key-scope", i), fmt.Sprintf("%q", class.KeyScope), "all, zone or cell"}
 		}
 		s.Classes = append(s.Classes, decide.Class{Aim: seconds(class.Promise), Deadline: seconds(class.Deadline),
-			Worth: class.Credit, LateWorth: class.LateWorth, Effect: effect, Group: group, Window: seconds(class.Window),
+			Worth: class.Credit, LateWorth: class.LateWorth, Effect: effect, KeyScope: group, Window: seconds(class.Window),
 			Streaming: class.Streaming})
 	}
 	for _, tenant := range b.Customers {
@@ -148,10 +148,10 @@
 	contract := b.Contract
 	s.AnswerSlack, s.DrainGrace = seconds(contract.AnswerSlack), seconds(contract.DrainGrace)
 	s.ColdFrom, s.ColdFor = contract.ColdFrom, seconds(contract.Cold)
-	s.FallMultiple, s.FallFor = contract.FallMultiple, seconds(contract.Fall)
+	s.CollapseMultiple, s.CollapseAfter = contract.FallMultiple, seconds(contract.Fall)
 	family := b.Family
 	s.KeepAlive, s.Orders, s.LoadsOnMiss = seconds(family.Keep), family.Orders, family.NotLoaded != "miss"
-	s.MarksCold, s.TellsCrowd, s.FreeOrders = family.MarksCold, family.TellsCrowd, family.FreeLoads
+	s.MarksCold, s.ReportsContention, s.FreeOrders = family.MarksCold, family.TellsCrowd, family.FreeLoads
 	s.OrderShare, s.OrderWindow = family.LoadShare, seconds(family.LoadPeriod)
 	s.OrderTimeout = time.Duration(family.OrderLimit * float64(time.Second))
 	site.readStats(b.Stats.How, b.Stats.Fields)
--- a/internal/wire/mqtt/link.go
+++ b/internal/wire/mqtt/link.go
@@ -129,7 +129,7 @@
 		switch {
 		case err == errLost: // sessionChanged ends all attempts in flight
 		case err != nil:
-			l.end(a.Ref, decide.Nop, decide.NoNote, nil)
+			l.end(a.Ref, decide.NotSent, decide.NoNote, nil)
 		case reason == NoSubscribers, reason >= firstFailure: // it was delivered to nobody
 			l.end(a.Ref, decide.NoConn, decide.NoNote, nil)
 		}
@@ -163,13 +163,13 @@
 func (l *Link) WithdrawUnwritten(mayGet func(worker string) bool) {
 	for _, ref := range slices.Sorted(maps.Keys(l.inFlight)) {
 		if s := l.inFlight[ref]; !mayGet(s.worker) && l.session.Withdraw(s.pending) {
-			l.end(ref, decide.Nop, decide.NoNote, nil)
+			l.end(ref, decide.NotSent, decide.NoNote, nil)
 		}
 	}
 }
 
 var outcomeByText = map[string]decide.Outcome{"ok": decide.Good, "miss": decide.Miss, "busy": decide.Full,
-	"error": decide.Bad, "void": decide.Nop}
+	"error": decide.Bad, "void": decide.NotSent}
 
 var noteByText = map[string]decide.Note{"warm": decide.FoundWarm, "cold": decide.BeganLoad, "joined": decide.WaitedLoad,
 	"load_failed": decide.LoadFailed}
@@ -201,7 +201,7 @@
 func (l *Link) Load(ref core.Ref, _, _ string, _ int) { l.ends.Loaded(ref, decide.Full, 0) }
 
 // Probe reports no result: there are no probes over MQTT. For a worker that is lost, the broker publishes its last will.
-func (l *Link) Probe(ref core.Ref, _ string) { l.ends.Probed(ref, decide.Nop, nil) }
+func (l *Link) Probe(ref core.Ref, _ string) { l.ends.Probed(ref, decide.NotSent, nil) }
 
 // Forget does nothing, since there are no load orders and probes over MQTT.
 func (l *Link) Forget(string, core.Ref) {}
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -213,12 +213,12 @@
 		Decide: decide.Settings{
 			Classes: []decide.Class{
 				{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: decide.Safe, Window: 5 * time.Second},
-				{Aim: time.Second, Deadline: 4 * time.Second, Worth: 5, Effect: decide.Keyed, Group: decide.SameZone,
+				{Aim: time.Second, Deadline: 4 * time.Second, Worth: 5, Effect: decide.Keyed, KeyScope: decide.SameZone,
 					Window: 8 * time.Second},
 			},
 			Tenants: []decide.Tenant{{Share: 0.5}, {Share: 0.5}}, Gateways: 2, MaxAttempts: 3, Parallel: true,
 			Cancelling: true, MaxRetryAfter: 2 * time.Second, DrainGrace: 2 * time.Second, ColdFrom: 0.2,
-			ColdFor: 10 * time.Second, FallMultiple: 2.5, FallFor: 3 * time.Second, KeepAlive: 10 * time.Second,
+			ColdFor: 10 * time.Second, CollapseMultiple: 2.5, CollapseAfter: 3 * time.Second, KeepAlive: 10 * time.Second,
 			Orders: true, LoadsOnMiss: true, MarksCold: true, FreeOrders: 2, OrderShare: 0.3,
 			OrderWindow: 10 * time.Second, OrderTimeout: 10 * time.Second,
 		}}
--- a/internal/wire/workerlink/answer.go
+++ b/internal/wire/workerlink/answer.go
@@ -59,7 +59,7 @@
 	"joined": decide.WaitedLoad, "load_failed": decide.LoadFailed}
 
 var outcomeByStatus = map[string]decide.Outcome{"OK": decide.Good, "MISS": decide.Miss, "BUSY": decide.Full,
-	"ERR": decide.Bad, "VOID": decide.Nop, "UP": decide.Good, "DOWN": decide.Bad}
+	"ERR": decide.Bad, "VOID": decide.NotSent, "UP": decide.Good, "DOWN": decide.Bad}
 
 func (c *conn) handleAnswer(a Answer) {
 	if c.ended {
--- a/internal/wire/workerlink/conn.go
+++ b/internal/wire/workerlink/conn.go
@@ -151,11 +151,11 @@
 	for _, m := range removed {
 		if m.kind == loadMessage {
 			delete(c.orders, m.id)
-			c.pool.receiver.Loaded(m.ref, decide.Nop, 0)
+			c.pool.receiver.Loaded(m.ref, decide.NotSent, 0)
 			continue
 		}
 		c.removeAttempt(m.id, m.ref)
-		c.pool.receiver.Ended(m.ref, core.AttemptResult{Outcome: decide.Nop})
+		c.pool.receiver.Ended(m.ref, core.AttemptResult{Outcome: decide.NotSent})
 	}
 	if len(removed) > 0 {
 		c.checkIdle()
@@ -202,7 +202,7 @@
 func noteFor(err error) decide.Note {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return decide.NobodyListens
+		return decide.ConnectionRefused
 	case sock.LocalFault(err):
 		return decide.LocalFault
 	}
--- a/internal/wire/workerlink/send.go
+++ b/internal/wire/workerlink/send.go
@@ -124,7 +124,7 @@
 	c := h.pick(func(c *conn) bool { return c.ready }) // may be unresponsive: the probe finds out whether it still answers
 	if c == nil {
 		if c = p.dial(h); c == nil {
-			p.receiver.Probed(ref, decide.Nop, nil)
+			p.receiver.Probed(ref, decide.NotSent, nil)
 			return
 		}
 	}
--- a/internal/wire/workerlink/unwritten_test.go
+++ b/internal/wire/workerlink/unwritten_test.go
@@ -27,7 +27,7 @@
 	if got := r.peers["a:1"][0].Take(); got != "" {
 		t.Errorf("sent %q", got)
 	}
-	r.expectOutcomes(90, decide.Nop)
+	r.expectOutcomes(90, decide.NotSent)
 	if len(r.loads) != 1 {
 		t.Errorf("the order has ended %d times, want 1", len(r.loads))
 	}
@@ -45,7 +45,7 @@
 	if got := r.peers["a:1"][0].Take(); strings.Contains(got, "first") || !strings.HasPrefix(got, "CALL second ") {
 		t.Errorf("sent %q", got)
 	}
-	r.expectOutcomes(90, decide.Nop)
+	r.expectOutcomes(90, decide.NotSent)
 	if r.written != 1 {
 		t.Errorf("%d attempts counted as written, want 1", r.written)
 	}
@@ -127,5 +127,5 @@
 	if r.written != 0 || len(r.loads) != 1 {
 		t.Errorf("%d attempts written, want 0; the order has ended %d times, want 1", r.written, len(r.loads))
 	}
-	r.expectOutcomes(90, decide.Nop)
+	r.expectOutcomes(90, decide.NotSent)
 }
