--- a/decide/answers_test.go
+++ b/decide/answers_test.go
@@ -6,106 +6,107 @@
 	"time"
 )
 
-func TestHeldWithoutWorkersIsAnsweredInTime(t *testing.T) {
-	f := start(t, site(), 0)
-	id := f.call(3, 0, "fn") // its aim is as late as its deadline
+func TestHeldRequestWithoutWorkersIsRefusedByDeadline(t *testing.T) {
+	f := newFake(t, testSettings(), 0)
+	id := f.call(3, 0, "fn") // the aim of this class equals its deadline
 	if len(f.sent) != 0 || f.ended[id] != "" {
-		t.Fatal("should be held")
+		t.Fatalf("want the request held, got %d sends and answer %q", len(f.sent), f.ended[id])
 	}
-	f.pass(4 * sec)
+	f.advance(4 * sec)
 	if f.ended[id] != "refuse" {
-		t.Errorf("ended as %q", f.ended[id])
+		t.Errorf("ended as %q, want refuse", f.ended[id])
 	}
 }
 
-func TestHeldIsSentWhenAWorkerComes(t *testing.T) {
-	f := start(t, site(), 0)
+func TestHeldRequestIsSentWhenWorkerIsListed(t *testing.T) {
+	f := newFake(t, testSettings(), 0)
 	id := f.call(0, 0, "fn")
-	f.do(List{Hosts: []Host{{Name: "w9"}}})
-	if len(f.of(id)) != 1 {
-		t.Error("not sent")
+	f.handle(List{Hosts: []Host{{Name: "w9"}}})
+	if len(f.sendsOf(id)) != 1 {
+		t.Error("the held request was not sent to the new worker")
 	}
 }
 
-func TestLateAtTheDeadlineEndsTheRequest(t *testing.T) {
+func TestTimeoutAtDeadlineEndsRequest(t *testing.T) {
 	for class, want := range []string{"refuse", "refuse", "lose", "lose"} {
-		f := start(t, site(), 1)
+		f := newFake(t, testSettings(), 1)
 		id := f.call(class, 0, "fn")
 		f.now += 4 * sec
-		f.result(f.of(id)[0], TimedOut, NoNote)
+		f.reportResult(f.sendsOf(id)[0], TimedOut, NoNote)
 		if f.ended[id] != want {
 			t.Errorf("class %d: ended as %q, want %q", class, f.ended[id], want)
 		}
 	}
 }
 
-func TestNothingIsSentForAnEndedRequest(t *testing.T) {
-	f := start(t, site(), 3)
+func TestNoRetryAfterClientIsGone(t *testing.T) {
+	f := newFake(t, testSettings(), 3)
 	id := f.call(0, 0, "fn")
-	f.do(ClientGone{ID: id})
-	f.result(f.of(id)[0], NoConn, NoNote)
-	f.pass(5 * sec)
-	if len(f.of(id)) != 1 || f.ended[id] != "" {
-		t.Errorf("sends %v, answer %q", f.of(id), f.ended[id])
+	f.handle(ClientGone{ID: id})
+	f.reportResult(f.sendsOf(id)[0], NoConn, NoNote)
+	f.advance(5 * sec)
+	if len(f.sendsOf(id)) != 1 || f.ended[id] != "" {
+		t.Errorf("sends %v and answer %q, want the first send alone and no answer", f.sendsOf(id), f.ended[id])
 	}
 }
 
-func TestUnsafeGoesAgainOnlyWhenNothingRan(t *testing.T) {
-	for _, o := range []Outcome{Full, NoConn, NotSent, Miss, Bad, TimedOut, Reset, Cancelled} {
-		f := start(t, site(), 4)
+func TestUnsafeRequestIsRetriedOnlyWhenNothingRan(t *testing.T) {
+	for _, outcome := range []Outcome{Full, NoConn, NotSent, Miss, Bad, TimedOut, Reset, Cancelled} {
+		f := newFake(t, testSettings(), 4)
 		id := f.call(2, 0, "fn")
-		f.result(f.of(id)[0], o, NoNote)
-		proof := slices.Contains([]Outcome{Full, NoConn, NotSent, Miss}, o)
-		if again := len(f.of(id)) == 2; again != proof {
-			t.Errorf("outcome %d: sent again %v", o, again)
+		f.reportResult(f.sendsOf(id)[0], outcome, NoNote)
+		nothingRan := slices.Contains([]Outcome{Full, NoConn, NotSent, Miss}, outcome)
+		if retried := len(f.sendsOf(id)) == 2; retried != nothingRan {
+			t.Errorf("outcome %d: retried %v, want %v", outcome, retried, nothingRan)
 		}
-		if !proof && f.ended[id] != "lose" {
-			t.Errorf("outcome %d: ended as %q", o, f.ended[id])
+		if !nothingRan && f.ended[id] != "lose" {
+			t.Errorf("outcome %d: ended as %q, want lose", outcome, f.ended[id])
 		}
 	}
 }
 
-func TestUnsafeIsNeverDoubled(t *testing.T) {
-	f := start(t, site(), 4)
-	f.warm(2, "fn")
+func TestUnsafeRequestGetsNoSecondAttemptInFlight(t *testing.T) {
+	f := newFake(t, testSettings(), 4)
+	f.warmUp(2, "fn")
 	id := f.call(2, 0, "fn")
-	f.pass(4 * sec)
-	if n := len(f.of(id)); n != 1 {
-		t.Errorf("%d attempts while the first was out", n)
+	f.advance(4 * sec)
+	if n := len(f.sendsOf(id)); n != 1 {
+		t.Errorf("%d attempts while the first was in flight, want 1", n)
 	}
 }
 
-func TestKeyedKeepsItsWindowAndGroup(t *testing.T) {
-	f := start(t, site(), 8)
+func TestKeyedRetryStaysInWindowAndZone(t *testing.T) {
+	f := newFake(t, testSettings(), 8)
 	id := f.call(3, 0, "fn")
-	first := f.of(id)[0]
-	f.result(first, Bad, NoNote)
-	if l := f.of(id); len(l) != 2 || f.r.workers[l[1].host].host.Zone != f.r.workers[first.host].host.Zone {
-		t.Fatalf("sends %+v: one more, in the same zone, was due", l)
+	first := f.sendsOf(id)[0]
+	f.reportResult(first, Bad, NoNote)
+	if sends := f.sendsOf(id); len(sends) != 2 ||
+		f.router.workers[sends[1].host].host.Zone != f.router.workers[first.host].host.Zone {
+		t.Fatalf("sends %+v, want a retry in the same zone", sends)
 	}
-	f.now += 2500 * time.Millisecond // past the window of the first
-	f.result(f.of(id)[1], Bad, NoNote)
-	if len(f.of(id)) != 2 || f.ended[id] != "lose" {
-		t.Errorf("sends %d, ended as %q", len(f.of(id)), f.ended[id])
+	f.now += 2500 * time.Millisecond // past the key's window, which began with the first attempt
+	f.reportResult(f.sendsOf(id)[1], Bad, NoNote)
+	if len(f.sendsOf(id)) != 2 || f.ended[id] != "lose" {
+		t.Errorf("%d sends, ended as %q; want no retry past the window and lose", len(f.sendsOf(id)), f.ended[id])
 	}
 }
 
-func TestAttemptsDoNotOverlapWhereNotAllowed(t *testing.T) {
-	s := site()
-	s.Parallel = false
-	f := start(t, s, 4)
-	f.warm(0, "fn")
-	p := f.r.ensurePlacement(f.r.funcs["fn"], f.r.ready[0])
+func TestAttemptsDoNotOverlapWithoutParallel(t *testing.T) {
+	settings := testSettings()
+	settings.Parallel = false
+	f := newFake(t, settings, 4)
+	f.warmUp(0, "fn")
+	p := f.router.ensurePlacement(f.router.funcs["fn"], f.router.ready[0])
 	p.loaded, p.sentAt = true, f.now
-	p = f.r.ensurePlacement(f.r.funcs["fn"], f.r.ready[1])
+	p = f.router.ensurePlacement(f.router.funcs["fn"], f.router.ready[1])
 	p.loaded, p.sentAt = true, f.now
 	id := f.call(0, 0, "fn")
-	f.pass(600 * time.Millisecond)
-	if len(f.of(id)) != 1 {
-		t.Fatalf("overdue: %d attempts out, want one", len(f.of(id)))
+	f.advance(600 * time.Millisecond)
+	if len(f.sendsOf(id)) != 1 {
+		t.Fatalf("%d attempts in flight for an overdue call, want 1", len(f.sendsOf(id)))
 	}
-	f.result(f.of(id)[0], Bad, NoNote)
-	if len(f.of(id)) != 2 {
-		t.Error("not sent again once nothing is out")
+	f.reportResult(f.sendsOf(id)[0], Bad, NoNote)
+	if len(f.sendsOf(id)) != 2 {
+		t.Error("not retried once no attempt was in flight")
 	}
 }
--- a/decide/capacity_test.go
+++ b/decide/capacity_test.go
@@ -6,61 +6,64 @@
 	"time"
 )
 
-// sul big-1: with the store jammed each call tried four workers whose load queues were full.
-func TestLoadsOutAreLimited(t *testing.T) {
-	f := start(t, site(), 3)
+// Without a limit, when the function store was overloaded, each call tried four workers whose load queues were full.
+func TestLoadsInFlightAreLimited(t *testing.T) {
+	f := newFake(t, testSettings(), 3)
 	for i := range 30 {
 		f.call(0, 0, fmt.Sprint("fn", i))
 	}
 	if n := len(f.sent); n > 3 {
-		t.Errorf("%d loads begun at three workers", n)
+		t.Errorf("%d loads begun at three workers, want at most 3", n)
 	}
 }
 
-// While loads take what their hints say and memory bears the copies, more of them may be under way than there are
-// workers: a wide catalogue at a high rate waits for nothing else. Slow ones take it back.
-func TestQuickLoadsMayBeMore(t *testing.T) {
-	for took, more := range map[time.Duration]bool{500 * time.Millisecond: true, 3 * sec: false} {
-		f := start(t, site(), 3)
-		begin := func(fn string) {
-			f.next++
-			f.do(Arrival{ID: f.next, Function: fn, TTL: 4 * sec, Lanes: 2, LoadTime: 500 * time.Millisecond})
+// While loads take no longer than their hints and memory holds the copies, more of them may be in flight than there are
+// workers: else calls at a high rate for many different functions would wait for the load limit alone. Slow loads lower
+// the limit again.
+func TestQuickLoadsRaiseLoadLimit(t *testing.T) {
+	for took, raised := range map[time.Duration]bool{500 * time.Millisecond: true, 3 * sec: false} {
+		f := newFake(t, testSettings(), 3)
+		callWithLoadHint := func(fn string) {
+			f.lastID++
+			f.handle(Arrival{ID: f.lastID, Function: fn, TTL: 4 * sec, Lanes: 2, LoadTime: 500 * time.Millisecond})
 		}
 		for i := range 40 {
-			begin(fmt.Sprint("first", i))
+			callWithLoadHint(fmt.Sprint("first", i))
 			f.now += took
-			f.result(f.last(), Good, BeganLoad)
+			f.reportResult(f.lastSend(), Good, BeganLoad)
 		}
 		before := len(f.sent)
 		for i := range 20 {
-			begin(fmt.Sprint("more", i))
+			callWithLoadHint(fmt.Sprint("more", i))
 		}
-		if n := len(f.sent) - before; more != (n > 3) {
-			t.Errorf("after loads that took %v, %d are under way at three workers", took, n)
+		if n := len(f.sent) - before; raised != (n > 3) {
+			t.Errorf("after loads that took %v, %d are in flight at three workers, want more than 3: %v", took, n, raised)
 		}
 	}
 }
 
-// In an overload each load in a full fleet pushed out a copy in use, which then was loaded again elsewhere.
-func TestLateFleetGetsFewLoads(t *testing.T) {
+// When a fleet whose memory was full was overloaded, each load evicted a copy in use, which was then loaded again
+// elsewhere. The load limit is therefore lower while answers are late.
+func TestLateAnswersLowerLoadLimit(t *testing.T) {
 	for late, most := range map[float64]int{0: 8, reserveLatency + 0.01: 8 / workersPerLoad} {
-		f := start(t, site(), 8)
-		f.r.lateness = late
+		f := newFake(t, testSettings(), 8)
+		f.router.lateness = late
 		for i := range 30 {
 			f.call(0, 0, fmt.Sprint("fn", i))
 		}
 		if n := len(f.sent); n != most {
-			t.Errorf("with answers as late as %v, %d loads begun at eight workers, want %d", late, n, most)
+			t.Errorf("answers take %v of the aim: %d loads begun at eight workers, want %d", late, n, most)
 		}
-		if late == 0 && !f.r.overloaded() { // the held press, and yet they may load: else they would never end
-			t.Error("22 held calls do not press")
+		// Held calls count as overload and yet may load their functions: else they would be held for good.
+		if late == 0 && !f.router.overloaded() {
+			t.Error("22 held calls do not count as overload")
 		}
 	}
 }
 
-// Bursts: one load of a function at a time, calls meanwhile wait behind it.
+// In a burst of calls of one function only one load begins, and the other calls wait for it.
 func TestOneLoadOfAFunctionAtATime(t *testing.T) {
-	f := start(t, site(), 6)
+	f := newFake(t, testSettings(), 6)
 	for range 8 {
 		f.call(0, 0, "fn")
 	}
@@ -73,19 +76,19 @@
 	}
 }
 
-// Overload: beyond a tenant's allowance calls are refused, but only while calls wait or answers are late.
-func TestOverShareIsRefusedUnderPressureOnly(t *testing.T) {
-	s := site()
-	s.Tenants[0].PerSec, s.Tenants[1].PerSec, s.Gateways = 20, 20, 4
-	for _, pressed := range []bool{false, true} {
-		f := start(t, s, 4)
-		f.pass(sec)
-		for _, w := range f.r.ready {
-			if pressed {
+// Calls beyond a tenant's allowance are refused, but only while calls wait or answers are late.
+func TestCallsOverShareAreRefusedOnlyUnderOverload(t *testing.T) {
+	settings := testSettings()
+	settings.Tenants[0].PerSec, settings.Tenants[1].PerSec, settings.Gateways = 20, 20, 4
+	for _, overloaded := range []bool{false, true} {
+		f := newFake(t, settings, 4)
+		f.advance(sec)
+		for _, w := range f.router.ready {
+			if overloaded {
 				w.latencyRatio = 1
 			}
 		}
-		for i := range 50 { // 10 a second here, twice the even part, saved up for 3
+		for i := range 50 { // the allowance here is 10/s, twice this gateway's even part, and 3 s of it are saved up
 			f.call(0, 0, fmt.Sprint("fn", i%2))
 		}
 		refused := 0
@@ -94,138 +97,141 @@
 				refused++
 			}
 		}
-		if pressed && refused != 20 || !pressed && f.ended[11] == "refuse" && f.ended[1] == "refuse" {
-			t.Errorf("pressed %v: %d of 50 refused", pressed, refused)
+		if overloaded && refused != 20 || !overloaded && f.ended[11] == "refuse" && f.ended[1] == "refuse" {
+			t.Errorf("overloaded %v: %d of 50 refused", overloaded, refused)
 		}
 	}
 }
 
-// caxias overload, the failed try: a bad spell must not refuse everything on arrival for ever.
-func TestBadSpellDoesNotRefuseAllOnArrival(t *testing.T) {
-	f := start(t, site(), 2)
-	f.r.classes[0].mean = 5000
-	if id := f.call(0, 0, "fn"); len(f.of(id)) != 1 {
-		t.Error("refused unseen")
+// A high mean latency after an overload must not have every call refused on arrival: with no call sent, the mean would
+// never be corrected.
+func TestHighMeanLatencyDoesNotRefuseCallsOnArrival(t *testing.T) {
+	f := newFake(t, testSettings(), 2)
+	f.router.classes[0].mean = 5000
+	if id := f.call(0, 0, "fn"); len(f.sendsOf(id)) != 1 {
+		t.Error("the call was not sent because of the mean latency of earlier calls")
 	}
 }
 
-func TestWindowClosesOnLateAnswersAndOpens(t *testing.T) {
-	f := start(t, site(), 1)
-	w := f.r.ready[0]
+func TestWindowShrinksOnLateAnswersAndGrowsBack(t *testing.T) {
+	f := newFake(t, testSettings(), 1)
+	worker := f.router.ready[0]
 	for range 60 {
 		f.now += fullPause + 1
-		f.r.resizeWindow(w, 0.9)
+		f.router.resizeWindow(worker, 0.9)
 	}
-	if w.window != minWindow {
-		t.Fatalf("window %v after answers near the aim", w.window)
+	if worker.window != minWindow {
+		t.Fatalf("window %v after answers near the aim, want %v", worker.window, minWindow)
 	}
-	w.warmInflight = 3
+	worker.warmInflight = 3
 	for range 60 {
-		f.r.resizeWindow(w, 0.1)
+		f.router.resizeWindow(worker, 0.1)
 	}
-	if w.window <= minWindow {
-		t.Error("the window does not open again")
+	if worker.window <= minWindow {
+		t.Error("the window does not grow back after prompt answers")
 	}
 }
 
-// Twice the usual traffic made every call late alike. Calls of less worth now leave most of a window to the others,
-// and do not keep those waiting that come after them.
-func TestCheapCallsLeaveRoomForDearOnes(t *testing.T) {
-	f := start(t, site(), 1)
-	f.warm(0, "fn")
-	f.warm(2, "dear")
-	f.r.ready[0].window = 10
-	for range 3 { // while answers are prompt, none of them waits
-		if id := f.call(0, 0, "fn"); len(f.of(id)) != 1 {
-			t.Fatal("a call of less worth waits though answers are prompt")
+// At twice the usual traffic calls of every class were equally late. Calls of a class of less worth therefore leave most
+// of a worker's window to the others, and held ones do not block calls of more worth that arrive after them.
+func TestLowWorthCallsLeaveRoomForHighWorthCalls(t *testing.T) {
+	f := newFake(t, testSettings(), 1)
+	f.warmUp(0, "fn")
+	f.warmUp(2, "dear")
+	f.router.ready[0].window = 10
+	for range 3 { // while answers are prompt, no call waits
+		if id := f.call(0, 0, "fn"); len(f.sendsOf(id)) != 1 {
+			t.Fatal("a call of less worth is held though answers are prompt")
 		}
 	}
-	for id := f.next; id > f.next-3; id-- {
-		f.result(f.of(id)[0], Good, FoundWarm)
+	for id := f.lastID; id > f.lastID-3; id-- {
+		f.reportResult(f.sendsOf(id)[0], Good, FoundWarm)
 	}
-	f.r.lateness, f.r.ready[0].window = 0.5, 10
-	var cheap []uint64
+	f.router.lateness, f.router.ready[0].window = 0.5, 10
+	var lowWorth []uint64
 	for range 4 {
-		cheap = append(cheap, f.call(0, 0, "fn"))
+		lowWorth = append(lowWorth, f.call(0, 0, "fn"))
 	}
-	if len(f.of(cheap[1])) != 1 || len(f.of(cheap[2])) != 0 || len(f.of(cheap[3])) != 0 {
-		t.Fatal("of a window of 10, calls of less worth take 2")
+	if len(f.sendsOf(lowWorth[1])) != 1 || len(f.sendsOf(lowWorth[2])) != 0 || len(f.sendsOf(lowWorth[3])) != 0 {
+		t.Fatal("want 2 calls of less worth in flight within a window of 10")
 	}
-	if id := f.call(2, 0, "dear"); len(f.of(id)) != 1 {
-		t.Error("a call of the most worth waits behind cheaper ones")
+	if id := f.call(2, 0, "dear"); len(f.sendsOf(id)) != 1 {
+		t.Error("a call of the class of most worth is held behind calls of less worth")
 	}
-	f.result(f.of(cheap[0])[0], Good, FoundWarm)
-	f.result(f.of(cheap[1])[0], Good, FoundWarm)
-	if len(f.of(cheap[2])) != 1 {
-		t.Error("held though its part of the window is free again")
+	f.reportResult(f.sendsOf(lowWorth[0])[0], Good, FoundWarm)
+	f.reportResult(f.sendsOf(lowWorth[1])[0], Good, FoundWarm)
+	if len(f.sendsOf(lowWorth[2])) != 1 {
+		t.Error("a call of less worth is held though its part of the window is free again")
 	}
-	f = start(t, site(), 1)
-	f.warm(0, "fn")
-	f.warm(2, "dear")
-	f.r.ready[0].window = 0
-	first, dear := f.call(0, 0, "fn"), f.call(2, 0, "dear")
-	f.r.ready[0].window = 1
-	f.pass(sweepInterval)
-	if len(f.of(dear)) != 1 || len(f.of(first)) != 0 {
-		t.Error("the room of one goes to a cheap call before a dear one")
+	f = newFake(t, testSettings(), 1)
+	f.warmUp(0, "fn")
+	f.warmUp(2, "dear")
+	f.router.ready[0].window = 0
+	first, highWorth := f.call(0, 0, "fn"), f.call(2, 0, "dear")
+	f.router.ready[0].window = 1
+	f.advance(sweepInterval)
+	if len(f.sendsOf(highWorth)) != 1 || len(f.sendsOf(first)) != 0 {
+		t.Error("a window of one call goes to a call of less worth before one of more worth")
 	}
 }
 
-// Held until a mean call would end at the aim, the calls of an overload all ended about there, half of them late.
-func TestHeldCallIsGivenUpWhileMostWouldBeInTime(t *testing.T) {
-	f := start(t, site(), 1)
-	f.warm(0, "fn")
-	f.r.classes[0] = classStat{mean: 100, dev: 50}
-	f.r.ready[0].window = 0
+// A held call is refused while one that takes longer than the mean could still end within the aim. When calls were held
+// until one of mean latency would end exactly at the aim, all calls of an overload ended about there, half of them late.
+func TestHeldCallIsRefusedBeforeItWouldBeLate(t *testing.T) {
+	f := newFake(t, testSettings(), 1)
+	f.warmUp(0, "fn")
+	f.router.classes[0] = classStat{mean: 100, dev: 50}
+	f.router.ready[0].window = 0
 	id := f.call(0, 0, "fn")
-	f.pass(sec - 300*time.Millisecond)
+	f.advance(sec - 300*time.Millisecond)
 	if f.ended[id] != "" {
-		t.Fatal("given up with time enough")
+		t.Fatalf("ended as %q with 300 ms left to the aim, want it held", f.ended[id])
 	}
-	f.pass(100 * time.Millisecond)
+	f.advance(100 * time.Millisecond)
 	if f.ended[id] != "refuse" {
-		t.Errorf("ended as %q, want a refusal while a warm call may take 250 ms", f.ended[id])
+		t.Errorf("ended as %q with 200 ms left to the aim, want refuse: a warm call may take 250 ms", f.ended[id])
 	}
 }
 
-// A crowd of clients that waited for less than a call takes kept workers busy with calls that nobody awaited any more,
-// and asked again at once.
-func TestCallNobodyWaitsLongEnoughForIsRefusedAtOnce(t *testing.T) {
-	f := start(t, site(), 1)
-	f.warm(0, "fn")
-	f.r.classes[0] = classStat{mean: 100, dev: 50}
-	n := len(f.sent)
+// Many clients whose time-out was shorter than a call takes kept workers busy with calls for which no client was waiting
+// any more, and retried at once. Such calls are refused on arrival.
+func TestCallWithTooShortTTLIsRefusedAtOnce(t *testing.T) {
+	f := newFake(t, testSettings(), 1)
+	f.warmUp(0, "fn")
+	f.router.classes[0] = classStat{mean: 100, dev: 50}
+	before := len(f.sent)
 	for id, want := range map[uint64]string{901: "refuse", 902: ""} {
 		ttl := map[uint64]time.Duration{901: 67 * time.Millisecond, 902: 150 * time.Millisecond}[id]
-		f.do(Arrival{ID: id, Function: "fn", TTL: ttl, Lanes: 2})
+		f.handle(Arrival{ID: id, Function: "fn", TTL: ttl, Lanes: 2})
 		if f.ended[id] != want {
-			t.Errorf("a client that waits %v: ended as %q, want %q", ttl, f.ended[id], want)
+			t.Errorf("TTL %v: ended as %q, want %q", ttl, f.ended[id], want)
 		}
 	}
-	if len(f.sent) != n+1 {
-		t.Errorf("%d calls sent, want the one in time", len(f.sent)-n)
+	if len(f.sent) != before+1 {
+		t.Errorf("%d calls sent, want only the one with time enough", len(f.sent)-before)
 	}
 }
 
-// Calls of one class differ tenfold in work: one long call in flight is more than two short ones.
-func TestWorkInFlightCountsByItsHints(t *testing.T) {
-	f := start(t, site(), 2)
-	f.warm(2, "fn")
-	for _, w := range f.r.ready {
-		p := f.r.ensurePlacement(f.r.funcs["fn"], w)
+// Calls of one class differ tenfold in work, so a long call in flight counts for more than two short ones.
+func TestWorkInFlightCountsByWorkHints(t *testing.T) {
+	f := newFake(t, testSettings(), 2)
+	f.warmUp(2, "fn")
+	for _, w := range f.router.ready {
+		p := f.router.ensurePlacement(f.router.funcs["fn"], w)
 		p.sentAt, p.loaded = f.now, true
 		w.deficit[0], w.latencyRatio = 1e6, 0
 	}
-	f.r.funcs["fn"].recentCalls, f.r.recentCalls, f.r.calledAt, f.r.funcs["fn"].usedAt = 3000, 3000, f.now, f.now // several homes
+	// So many calls give the function several homes.
+	f.router.funcs["fn"].recentCalls, f.router.recentCalls, f.router.calledAt, f.router.funcs["fn"].usedAt = 3000, 3000, f.now, f.now
 	call := func(ms int) string {
-		f.next++
-		f.do(Arrival{ID: f.next, Class: 2, Function: "fn", TTL: 4 * sec, Lanes: 4, Work: time.Duration(ms) * time.Millisecond})
-		return f.last().host
+		f.lastID++
+		f.handle(Arrival{ID: f.lastID, Class: 2, Function: "fn", TTL: 4 * sec, Lanes: 4, Work: time.Duration(ms) * time.Millisecond})
+		return f.lastSend().host
 	}
 	long := call(400)
 	for range 4 {
 		if call(40) == long {
-			t.Error("sent beside the long call")
+			t.Error("a short call was sent to the worker of the long call")
 		}
 	}
 }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -8,102 +8,105 @@
 	"time"
 )
 
-// What a cold worker bears is counted in work, not in calls: one that gets only the calls of a class with much work must not be
-// given as many of them as of mean ones, and may be given more of those with little.
+// The budget of a cold worker is counted in work, not in calls: a worker that gets only calls of a class with much work
+// may get fewer of them than of mean calls, and more of those with little work.
 func TestColdBudgetCountsWork(t *testing.T) {
 	const served = 100.0 // calls a second
 	for class, weight := range []float64{0.2, 1.8} {
-		f := start(t, site(), 9)
-		f.do(List{Hosts: []Host{{Name: "cold", Since: f.now}}})
-		f.r.meanWork, f.r.servedRate = 100, served
-		f.r.classes[0].work, f.r.classes[1].work = 20, 180
-		w, q, calls := f.r.workers["cold"], &request{class: class}, 0
-		for f.r.now, f.r.servedAt = f.now, f.now; f.r.withinColdBudget(q, w); calls++ {
-			w.coldSends = append(w.coldSends, sentWork{f.now, f.r.relativeWork(q)})
+		f := newFake(t, testSettings(), 9)
+		f.handle(List{Hosts: []Host{{Name: "cold", Since: f.now}}})
+		f.router.meanWork, f.router.servedRate = 100, served
+		f.router.classes[0].work, f.router.classes[1].work = 20, 180
+		worker, req, calls := f.router.workers["cold"], &request{class: class}, 0
+		for f.router.now, f.router.servedAt = f.now, f.now; f.router.withinColdBudget(req, worker); calls++ {
+			worker.coldSends = append(worker.coldSends, sentWork{f.now, f.router.relativeWork(req)})
 		}
-		budget := coldShare * site().CollapseMultiple * site().ColdFrom * served / 10 * site().CollapseAfter.Seconds()
+		budget := coldShare * testSettings().CollapseMultiple * testSettings().ColdFrom * served / 10 * testSettings().CollapseAfter.Seconds()
 		if work := float64(calls) * weight; work > budget+1e-9 || work < budget-weight {
-			t.Errorf("class %d: %d calls at once, the work of %.1f mean ones, for a budget of %.1f", class, calls, work, budget)
+			t.Errorf("class %d: %d calls at once have the work of %.1f mean calls, want just within the budget of %.1f", class,
+				calls, work, budget)
 		}
 	}
 }
 
-// A repeat has to reach the workers within the window in which they drop it, and may leave as late as its connection comes up.
-func TestRepeatLeavesTimeForItsConnection(t *testing.T) {
+// A retry has to reach the workers within the window in which they drop repeated calls, and may be delayed until its
+// connection is set up.
+func TestRetryLeavesTimeForConnectionSetup(t *testing.T) {
 	for _, delay := range []time.Duration{0, 250 * time.Millisecond} {
-		s := site()
-		s.SendDelay = delay
-		f := start(t, s, 3)
-		q := &request{class: 1, attempts: []attempt{{worker: f.r.workers["w0"], sentAt: f.now, mayHaveRun: true}}}
-		sent := f.now
-		for f.r.now = f.now; f.r.mayRepeat(q, f.r.workers["w0"]); f.r.now += time.Millisecond {
+		settings := testSettings()
+		settings.SendDelay = delay
+		f := newFake(t, settings, 3)
+		req := &request{class: 1, attempts: []attempt{{worker: f.router.workers["w0"], sentAt: f.now, mayHaveRun: true}}}
+		sentAt := f.now
+		for f.router.now = f.now; f.router.mayRepeat(req, f.router.workers["w0"]); f.router.now += time.Millisecond {
 		}
-		if last, most := f.r.now-sent, s.Classes[1].Window-delay; last > most || last < most-100*time.Millisecond {
-			t.Errorf("repeats go out for %v of a window of %v, where a connection may take %v", last, s.Classes[1].Window, delay)
+		if last, most := f.router.now-sentAt, settings.Classes[1].Window-delay; last > most || last < most-100*time.Millisecond {
+			t.Errorf("retries are allowed for %v of a window of %v, where a connection may take %v", last,
+				settings.Classes[1].Window, delay)
 		}
 	}
 }
 
-// coldFleet is many gateways at one cold worker: shares of the traffic, starts and times of hearing differ.
+// coldFleet simulates many gateways that send to one cold worker. They differ in their shares of the traffic, in when
+// they start, and in when they learn of the worker.
 type coldFleet struct {
-	t        *testing.T
-	set      Settings
-	capacity float64 // of a warm worker, calls a second
-	ready    int     // warm workers beside the cold one
-	sent     []time.Duration
+	t           *testing.T
+	settings    Settings
+	capacity    float64         // of a warm worker, calls a second
+	warmWorkers int             // warm workers beside the cold one
+	sendTimes   []time.Duration // of all gateways' sends to the cold worker, after its start
 }
 
-// traffic is what befalls the gateways of a coldFleet: what each has served a second of late, when it hears of the cold worker,
-// and when it is started anew with nothing in memory, all from the cold worker's start on; 0 for no restart.
-type traffic struct {
-	rate     func(gateway int) float64
-	hears    func(gateway int) time.Duration
-	restarts func(gateway int) time.Duration
-	drains   int // so many warm workers drain as the cold one starts
+// gatewayTraffic describes the gateways of a coldFleet, each by its number. Times count from the cold worker's start.
+type gatewayTraffic struct {
+	rate            func(gateway int) float64       // calls a second that the gateway has served recently
+	listedAfter     func(gateway int) time.Duration // when the gateway learns of the cold worker
+	restartAfter    func(gateway int) time.Duration // when the gateway restarts with nothing in memory; 0 for never
+	drainingWorkers int                             // warm workers that drain when the cold one starts
 }
 
-// play has each gateway send as much as it may for the given time.
-func (c *coldFleet) play(gateways int, length time.Duration, with traffic) {
+// run has each gateway send as much as it may to the cold worker for the given time.
+func (c *coldFleet) run(gateways int, length time.Duration, with gatewayTraffic) {
 	for i := range gateways {
-		c.set.Self, c.set.Gateways = i, gateways
-		if restart := with.restarts(i); restart > 0 {
-			c.live(with, i, 0, restart)
-			c.live(with, i, restart, length)
+		c.settings.Self, c.settings.Gateways = i, gateways
+		if restart := with.restartAfter(i); restart > 0 {
+			c.runIncarnation(with, i, 0, restart)
+			c.runIncarnation(with, i, restart, length)
 		} else {
-			c.live(with, i, 0, length)
+			c.runIncarnation(with, i, 0, length)
 		}
 	}
 }
 
-// live plays one life of a gateway, between two times after the cold worker's start.
-func (c *coldFleet) live(with traffic, i int, from, to time.Duration) {
-	f := start(c.t, c.set, c.ready)
-	f.r.meanWork, f.r.classes[0].work = 1, 1
+// runIncarnation runs one incarnation of gateway i between two times after the cold worker's start.
+func (c *coldFleet) runIncarnation(with gatewayTraffic, i int, from, to time.Duration) {
+	f := newFake(c.t, c.settings, c.warmWorkers)
+	f.router.meanWork, f.router.classes[0].work = 1, 1
 	if from > 0 {
 		f.now = coldStart + from
-		f.r.Handle(f.now, Wake{})
+		f.router.Handle(f.now, Wake{})
 	} else {
-		f.r.servedRate, f.r.servedAt = with.rate(i), f.now
+		f.router.servedRate, f.router.servedAt = with.rate(i), f.now
 	}
-	f.do(List{Hosts: []Host{{Name: "cold", Since: coldStart}}})
+	f.handle(List{Hosts: []Host{{Name: "cold", Since: coldStart}}})
 	var hosts []Host
-	for n := range with.drains {
+	for n := range with.drainingWorkers {
 		hosts = append(hosts, Host{Name: fmt.Sprint("w", n), State: Draining})
 	}
 	if len(hosts) > 0 {
-		f.do(List{Hosts: hosts})
+		f.handle(List{Hosts: hosts})
 	}
-	w := f.r.workers["cold"]
-	left := float64(c.ready-with.drains) / float64(c.ready)
+	worker := f.router.workers["cold"]
+	remaining := float64(c.warmWorkers-with.drainingWorkers) / float64(c.warmWorkers)
 	for f.now < coldStart+to {
-		passed, lived := (f.now - coldStart).Seconds(), 1.0
+		elapsed, known := (f.now - coldStart).Seconds(), 1.0 // known: part of its rate that the gateway has measured
 		if from > 0 {
-			lived = 1 - math.Exp(-(f.now-coldStart-from).Seconds()/rateFadeTime.Seconds())
+			known = 1 - math.Exp(-(f.now-coldStart-from).Seconds()/rateFadeTime.Seconds())
 		}
-		f.r.servedRate, f.r.servedAt = with.rate(i)*lived*(left+(1-left)*math.Exp(-passed/rateFadeTime.Seconds())), f.now
-		for f.r.now = f.now; f.now >= coldStart+with.hears(i) && f.r.withinColdBudget(&request{}, w); {
-			w.coldSends = append(w.coldSends, sentWork{f.now, 1})
-			c.sent = append(c.sent, f.now-coldStart)
+		f.router.servedRate, f.router.servedAt = with.rate(i)*known*(remaining+(1-remaining)*math.Exp(-elapsed/rateFadeTime.Seconds())), f.now
+		for f.router.now = f.now; f.now >= coldStart+with.listedAfter(i) && f.router.withinColdBudget(&request{}, worker); {
+			worker.coldSends = append(worker.coldSends, sentWork{f.now, 1})
+			c.sendTimes = append(c.sendTimes, f.now-coldStart)
 		}
 		f.now += 20 * time.Millisecond
 	}
@@ -111,8 +114,8 @@
 
 const coldStart = 100 * sec
 
-// coldMargin is what a cold worker bears beyond the calls that the settings allow: two roots of their number and 2 more, three
-// roots and 3 more where there are fewer than 30.
+// coldMargin returns the calls that a cold worker tolerates beyond those that the settings allow: twice the square root
+// of the allowed number plus 2, or three times the root plus 3 where fewer than 30 are allowed.
 func coldMargin(allowed float64) float64 {
 	if allowed < 30 {
 		return 3*math.Sqrt(allowed) + 3
@@ -120,41 +123,44 @@
 	return 2*math.Sqrt(allowed) + 2
 }
 
-// allowed is what the settings allow the cold worker in the time, as it is at a moment.
-func (c *coldFleet) allowed(at time.Duration) float64 {
-	share := c.set.ColdFrom + (1-c.set.ColdFrom)*min(1, at.Seconds()/c.set.ColdFor.Seconds())
-	return c.set.CollapseMultiple * share * c.capacity * c.set.CollapseAfter.Seconds()
+// allowedCalls returns the calls that the settings allow the cold worker within a judged window, by its capacity at
+// the time at.
+func (c *coldFleet) allowedCalls(at time.Duration) float64 {
+	share := c.settings.ColdFrom + (1-c.settings.ColdFrom)*min(1, at.Seconds()/c.settings.ColdFor.Seconds())
+	return c.settings.CollapseMultiple * share * c.capacity * c.settings.CollapseAfter.Seconds()
 }
 
-// check holds what was sent in any window against what the settings allow at its end, when the rule is judged. early holds it
-// against what they allow at its beginning, with the margin of many calls: stricter than the rule.
-func (c *coldFleet) check(name string, early bool) {
-	slices.Sort(c.sent)
-	for i, from := range c.sent {
-		n, _ := slices.BinarySearch(c.sent, from+c.set.CollapseAfter)
-		allowed := c.allowed(c.sent[n-1])
+// checkWindows compares the number of sends in every judged window with what the settings allow at the window's end,
+// where the rule applies. With early it compares them with what is allowed at the window's beginning and with the margin
+// of many calls, which is stricter than the rule.
+func (c *coldFleet) checkWindows(name string, early bool) {
+	slices.Sort(c.sendTimes)
+	for i, from := range c.sendTimes {
+		n, _ := slices.BinarySearch(c.sendTimes, from+c.settings.CollapseAfter)
+		allowed := c.allowedCalls(c.sendTimes[n-1])
 		most := allowed + coldMargin(allowed)
 		if early {
-			allowed = c.allowed(from)
+			allowed = c.allowedCalls(from)
 			most = allowed + 2*math.Sqrt(allowed) + 2
 		}
 		if float64(n-i) > most {
-			c.t.Errorf("%s: %d sends within the time from %v, %.1f allowed and %.1f with the margin", name, n-i, from, allowed, most)
+			c.t.Errorf("%s: %d sends in the window from %v, %.1f allowed and %.1f with the margin", name, n-i, from, allowed, most)
 			return
 		}
 	}
-	if len(c.sent) == 0 {
-		c.t.Errorf("%s: nobody sends to the cold worker", name)
+	if len(c.sendTimes) == 0 {
+		c.t.Errorf("%s: no gateway sends to the cold worker", name)
 	}
 }
 
-// However many gateways there are, however unevenly they are used, whenever they started or heard of the worker, and also while
-// others are being replaced or gateways start anew, all of them together don't push it over. The fleet serves all that it can.
-func TestColdWorkerBearsWhatAllGatewaysSend(t *testing.T) {
+// All gateways together must not overload a cold worker. This holds for any number of gateways, however unevenly they
+// are used, whenever they started or learnt of the worker, and also while other workers drain or gateways restart. The
+// fleet runs at the full capacity of its warm workers.
+func TestColdWorkerIsNotOverloadedByAllGateways(t *testing.T) {
 	const ready = 12
 	atOnce := func(int) time.Duration { return 0 }
 	spread := func(i int) time.Duration { return time.Duration(i*37%100) * 20 * time.Millisecond }
-	late := func(i int) time.Duration { // one of them
+	late := func(i int) time.Duration { // 4 s for one of the gateways
 		if i == 0 {
 			return 4 * sec
 		}
@@ -164,7 +170,8 @@
 		for _, perWorker := range []float64{1, 4, 14, 60, 250} {
 			total := ready * perWorker
 			even := func(int) float64 { return total / float64(gateways) }
-			skewed := func(i int) float64 { // one of ten, or one of two, has as much as the other nine, or nine times as much
+			// One gateway of every ten, or of all where there are fewer, gets half of the traffic; the others share the rest.
+			skewed := func(i int) float64 {
 				switch group := min(10, gateways); {
 				case group == 1:
 					return total
@@ -174,33 +181,33 @@
 					return total / 2 / (float64(gateways) - math.Ceil(float64(gateways)/float64(group)))
 				}
 			}
-			young := func(i int) float64 { // one of three has served nothing yet
+			oneOfThreeNew := func(i int) float64 { // one of three gateways has served nothing yet
 				if i%3 == 0 && gateways > 1 {
 					return 0
 				}
 				return total / (float64(gateways) - math.Ceil(float64(gateways)/3)*float64(min(1, gateways-1)))
 			}
-			for name, with := range map[string]traffic{
+			for name, with := range map[string]gatewayTraffic{
 				"even":               {even, atOnce, atOnce, 0},
 				"skewed":             {skewed, atOnce, atOnce, 0},
-				"one of three young": {young, spread, atOnce, 0},
-				"heard late":         {even, spread, atOnce, 0},
-				"one hears late":     {skewed, late, atOnce, 0},
+				"one of three new":   {oneOfThreeNew, spread, atOnce, 0},
+				"listed late":        {even, spread, atOnce, 0},
+				"listed late at one": {skewed, late, atOnce, 0},
 				"one restarts":       {skewed, atOnce, late, 0},
 				"all restart":        {even, atOnce, func(i int) time.Duration { return 3*sec + spread(i) }, 0},
 				"all restart early":  {even, atOnce, func(i int) time.Duration { return sec / 2 }, 0},
 				"half drain":         {even, atOnce, atOnce, ready / 2},
 				"half drain, skewed": {skewed, spread, atOnce, ready / 2},
 			} {
-				set := site()
-				set.ColdFrom, set.ColdFor, set.CollapseMultiple, set.CollapseAfter = 0.18, 14*sec, 2.5, 3*sec
-				set.Tenants = []Tenant{{PerSec: 0.9 * total}}
-				f := &coldFleet{t: t, set: set, capacity: perWorker, ready: ready}
-				f.play(gateways, 10*sec, with)
+				settings := testSettings()
+				settings.ColdFrom, settings.ColdFor, settings.CollapseMultiple, settings.CollapseAfter = 0.18, 14*sec, 2.5, 3*sec
+				settings.Tenants = []Tenant{{PerSec: 0.9 * total}}
+				f := &coldFleet{t: t, settings: settings, capacity: perWorker, warmWorkers: ready}
+				f.run(gateways, 10*sec, with)
 				what := fmt.Sprintf("%d gateways, %v calls a second each, %s", gateways, perWorker, name)
-				f.check(what, false)
+				f.checkWindows(what, false)
 				if gateways >= 20 && perWorker == 14 {
-					f.check(what+", by what is allowed at first", true)
+					f.checkWindows(what+", by the allowance at the window's beginning", true)
 				}
 			}
 		}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"quillrail/decide"
 )
 
-// gateway embeds the interface, so that it need only carry out what this example meets.
+// gateway embeds the interface so that it has to implement only the methods that this example calls.
 type gateway struct{ decide.Gateway }
 
 func (gateway) Route(id uint64, host string, expireAt time.Duration) {
@@ -15,10 +15,10 @@
 }
 func (gateway) Refuse(id uint64, _ time.Duration, _ decide.Reason) { fmt.Printf("refuse %d\n", id) }
 func (gateway) Fail(id uint64, _ decide.Reason)                    { fmt.Printf("fail %d\n", id) }
-func (gateway) WakeAt(after time.Duration, tok string)             {} // arm a timer that comes back as a Wake
+func (gateway) WakeAt(after time.Duration, token string)           {} // starts a timer that is reported as a Wake
 func (gateway) Order(host, function string, copies int)            {}
 
-// A gateway tells the router what happened, on one goroutine, and does what the router asks.
+// A gateway reports events to the router on a single goroutine and carries out the calls that the router makes.
 func Example() {
 	settings := decide.Settings{
 		Classes:     []decide.Class{{Aim: time.Second, Deadline: 4 * time.Second, Worth: 1, Effect: decide.Unsafe}},
@@ -35,7 +35,8 @@
 	clock += 120 * time.Millisecond
 	router.Handle(clock, decide.Result{ID: 1, Host: "worker-a", Outcome: decide.Good, Took: 120 * time.Millisecond,
 		Final: true, Note: decide.BeganLoad})
-	// The worker dies while it holds the next call. It may have run and must never run twice.
+	// The worker fails while it holds the next call, which may have run. A call of this class must never run twice, so it
+	// is not retried.
 	router.Handle(clock, decide.Arrival{ID: 2, Function: "resize", TTL: 4 * time.Second, Lanes: 2})
 	router.Handle(clock, decide.Result{ID: 2, Host: "worker-a", Outcome: decide.Reset, Took: time.Millisecond})
 	// Output:
--- a/decide/failures_test.go
+++ b/decide/failures_test.go
@@ -6,144 +6,147 @@
 	"time"
 )
 
-// i2def6e: fast errors of one class at a few workers; successes of the other class hid them.
+// Errors count for each class: a few workers quickly failed all calls of one class, and successes of the other class hid
+// the errors.
 func TestErrorsCountByClass(t *testing.T) {
-	f := start(t, site(), 4)
-	w, fn := f.r.ready[0], &function{name: "x", lanes: 1, served: true}
+	f := newFake(t, testSettings(), 4)
+	w, fn := f.router.ready[0], &function{name: "x", lanes: 1, served: true}
 	for range 3 {
-		p := f.r.ensurePlacement(fn, w)
-		q := &request{class: 0, fn: fn}
-		f.r.learn(q, &attempt{worker: w, placement: p, warm: true}, Result{Outcome: Bad})
-		f.r.learn(&request{class: 1, fn: q.fn}, &attempt{worker: w, placement: p, warm: true}, Result{Outcome: Good, Note: FoundWarm})
+		p := f.router.ensurePlacement(fn, w)
+		req := &request{class: 0, fn: fn}
+		f.router.learn(req, &attempt{worker: w, placement: p, warm: true}, Result{Outcome: Bad})
+		f.router.learn(&request{class: 1, fn: req.fn}, &attempt{worker: w, placement: p, warm: true}, Result{Outcome: Good, Note: FoundWarm})
 	}
-	f.r.judgeHealth()
+	f.router.judgeHealth()
 	if !w.health[0].ejected || w.health[1].ejected {
-		t.Errorf("out by class: %v %v, want true false", w.health[0].ejected, w.health[1].ejected)
+		t.Errorf("ejected by class: %v %v, want true false", w.health[0].ejected, w.health[1].ejected)
 	}
 }
 
-// i2def6e, floripa overload: a dead worker answers fastest and drew 62% of the sends.
-// Calls for functions that no worker knows end in errors everywhere; each had set a worker aside for everyone's calls.
-func TestErrorForAFunctionNeverServedIsNoSickness(t *testing.T) {
-	f := start(t, site(), 4)
+// Calls of functions that no worker knows end in errors everywhere. Each such error had ejected a worker for all calls.
+func TestErrorOfNeverServedFunctionDoesNotEjectWorker(t *testing.T) {
+	f := newFake(t, testSettings(), 4)
 	for i := range 8 {
 		id := f.call(0, 0, fmt.Sprint("unknown", i))
 		for f.ended[id] == "" {
-			f.result(f.last(), Bad, NoNote)
+			f.reportResult(f.lastSend(), Bad, NoNote)
 		}
 	}
-	for _, w := range f.r.ready {
+	for _, w := range f.router.ready {
 		if w.health[0].ejectedUntil > f.now {
-			t.Errorf("%s is set aside", w.host.Name)
+			t.Errorf("%s is ejected", w.host.Name)
 		}
 	}
 }
 
-// Each connection that was reset had set its worker aside for all, though the others there went on answering. What one
-// connection carried ends at once; a second loss before the next answer speaks of the worker.
-func TestOneLostConnectionIsNoSickness(t *testing.T) {
-	f := start(t, site(), 4)
-	home := f.warm(0, "fn")
-	aside := func() bool { return f.r.workers[home].health[0].ejectedUntil > f.now }
-	lose := func(n int) {
+// Each reset of a connection had ejected its worker for all calls, although calls on other connections there were still
+// answered. All calls of one connection end together and count as one loss; only a second loss before the next answer
+// ejects the worker.
+func TestOneLostConnectionDoesNotEjectWorker(t *testing.T) {
+	f := newFake(t, testSettings(), 4)
+	home := f.warmUp(0, "fn")
+	ejected := func() bool { return f.router.workers[home].health[0].ejectedUntil > f.now }
+	resetConnection := func(n int) { // with n calls in flight
 		var ids []uint64
 		for range n {
 			ids = append(ids, f.call(0, 0, "fn"))
 		}
 		f.now += 20 * time.Millisecond
 		for _, id := range ids {
-			f.result(f.of(id)[0], Reset, NoNote)
+			f.reportResult(f.sendsOf(id)[0], Reset, NoNote)
 		}
 	}
-	lose(2)
-	if aside() || !f.r.funcs["fn"].placementAt(f.r.workers[home]).loaded {
-		t.Error("set aside, or its copy forgotten, for one connection")
+	resetConnection(2)
+	if ejected() || !f.router.funcs["fn"].placementAt(f.router.workers[home]).loaded {
+		t.Error("one lost connection ejected the worker, or had its copy forgotten")
 	}
-	f.result(sent{f.call(0, 0, "fn"), home, 0, f.now}, Good, FoundWarm)
-	lose(1)
-	if aside() {
-		t.Error("set aside though it answered between two losses")
+	f.reportResult(sendRecord{f.call(0, 0, "fn"), home, 0, f.now}, Good, FoundWarm)
+	resetConnection(1)
+	if ejected() {
+		t.Error("the worker was ejected though it answered between two losses")
 	}
-	lose(1)
-	if !aside() {
-		t.Error("not set aside for two losses in a row")
+	resetConnection(1)
+	if !ejected() {
+		t.Error("the worker was not ejected after two losses in a row")
 	}
 }
 
-func TestDeadWorkerIsNoLastResort(t *testing.T) {
-	f := start(t, site(), 3)
+// A dead worker refuses connections at once, faster than the others answer: in an overload it drew 62% of the sends.
+func TestDeadWorkerGetsFewSends(t *testing.T) {
+	f := newFake(t, testSettings(), 3)
 	for i := 0; len(f.sent) < 40 && i < 40; i++ {
 		id := f.call(0, 0, fmt.Sprint("fn", i))
-		for n := 0; n < len(f.of(id)); n++ {
-			if s := f.of(id)[n]; s.host == "w1" {
-				f.result(s, NoConn, NoNote)
+		for n := 0; n < len(f.sendsOf(id)); n++ {
+			if s := f.sendsOf(id)[n]; s.host == "w1" {
+				f.reportResult(s, NoConn, NoNote)
 			}
 		}
-		f.pass(sweepInterval)
+		f.advance(sweepInterval)
 	}
-	dead := 0
+	toDead := 0
 	for _, s := range f.sent {
 		if s.host == "w1" {
-			dead++
+			toDead++
 		}
 	}
-	if dead > 2 {
-		t.Errorf("%d of %d sends went to the dead worker within 0.4 s", dead, len(f.sent))
+	if toDead > 2 {
+		t.Errorf("%d of %d sends went to the dead worker within 0.4 s, want at most 2", toDead, len(f.sent))
 	}
 }
 
-func TestSilentWorkerIsLeft(t *testing.T) {
-	f := start(t, site(), 4)
-	home := f.warm(0, "fn")
+func TestSilentWorkerIsEjectedUntilItAnswers(t *testing.T) {
+	f := newFake(t, testSettings(), 4)
+	home := f.warmUp(0, "fn")
 	f.call(0, 0, "fn")
-	f.pass(2 * sec)
-	if !f.r.workers[home].health[0].ejected {
-		t.Error("a worker silent for 2 s with a call at a loaded copy is still used")
+	f.advance(2 * sec)
+	if !f.router.workers[home].health[0].ejected {
+		t.Error("a worker that did not answer a call at a loaded copy for 2 s is not ejected")
 	}
-	f.result(f.of(2)[0], Good, FoundWarm)
-	f.pass(sweepInterval)
-	if f.r.workers[home].health[0].ejected {
-		t.Error("still out after it was heard")
+	f.reportResult(f.sendsOf(2)[0], Good, FoundWarm)
+	f.advance(sweepInterval)
+	if f.router.workers[home].health[0].ejected {
+		t.Error("the worker is still ejected after it answered")
 	}
 }
 
-func TestLoadAwaitedIsNotSickness(t *testing.T) {
-	f := start(t, site(), 2)
+func TestPendingLoadDoesNotEjectWorker(t *testing.T) {
+	f := newFake(t, testSettings(), 2)
 	f.call(0, 0, "fn")
-	f.pass(2 * sec)
-	for _, w := range f.r.ready {
+	f.advance(2 * sec)
+	for _, w := range f.router.ready {
 		if w.health[0].ejected {
-			t.Errorf("%s is out while a load is awaited", w.host.Name)
+			t.Errorf("%s is ejected while a load is pending", w.host.Name)
 		}
 	}
 }
 
-func TestHealthNeverEmptiesTheFleet(t *testing.T) {
-	f := start(t, site(), 4)
-	for _, w := range f.r.ready {
+func TestEjectionNeverEmptiesTheFleet(t *testing.T) {
+	f := newFake(t, testSettings(), 4)
+	for _, w := range f.router.ready {
 		w.health[0].ejectedUntil = f.now + sec
 	}
-	f.r.judgeHealth()
-	if id := f.call(0, 0, "fn"); len(f.of(id)) != 1 {
-		t.Error("every worker was set aside")
+	f.router.judgeHealth()
+	if id := f.call(0, 0, "fn"); len(f.sendsOf(id)) != 1 {
+		t.Errorf("%d sends with every worker ejected, want 1", len(f.sendsOf(id)))
 	}
 }
 
-// What the gateway's own machine lacks for a moment is not held against the worker, nor against the copies there.
-func TestLocalFaultIsNotTheWorkers(t *testing.T) {
-	f := start(t, site(), 2)
-	home := f.warm(0, "a")
+// A fault of the gateway's own machine, such as a temporary lack of resources, counts neither against the worker nor
+// against its copies.
+func TestLocalFaultDoesNotEjectWorker(t *testing.T) {
+	f := newFake(t, testSettings(), 2)
+	home := f.warmUp(0, "a")
 	for range 3 {
 		id := f.call(0, 0, "a")
-		s := f.of(id)[0]
+		s := f.sendsOf(id)[0]
 		if s.host != home {
-			t.Fatalf("sent to %s, the copy is at %s", s.host, home)
+			t.Fatalf("sent to %s, want %s which has the copy", s.host, home)
 		}
-		f.do(ClientGone{ID: id})
-		f.do(Result{ID: id, Host: s.host, Outcome: NoConn, Note: LocalFault, Final: true, Contention: -1})
-		f.pass(20 * time.Millisecond)
+		f.handle(ClientGone{ID: id})
+		f.handle(Result{ID: id, Host: s.host, Outcome: NoConn, Note: LocalFault, Final: true, Contention: -1})
+		f.advance(20 * time.Millisecond)
 	}
-	if f.r.Avoids(home) {
-		t.Error("the worker is set aside")
+	if f.router.Avoids(home) {
+		t.Error("the worker is avoided after faults of the gateway's own machine")
 	}
 }
--- a/decide/fake_test.go
+++ b/decide/fake_test.go
@@ -8,71 +8,81 @@
 
 const sec = time.Second
 
-// fake is a Gateway that notes what it is told, and a clock.
-type fake struct {
-	t     *testing.T
-	r     *Router
-	now   time.Duration
-	acts  []string
-	sent  []sent
-	ended map[uint64]string
-	next  uint64
-	due   map[uint64]time.Duration
-	why   Reason        // why a request was last given up
-	pause time.Duration // that its client was asked for
-
-	edits bool // the test changes what is known of workers: sums are reckoned anew before each event
-}
-
-type sent struct {
-	id   uint64
-	host string
-	shot int
-	at   time.Duration
-}
-
-func (f *fake) note(format string, a ...any) { f.acts = append(f.acts, fmt.Sprintf(format, a...)) }
-func (f *fake) Route(id uint64, host string, expireAt time.Duration) {
-	shot := 0
+// fakeGateway is a Gateway with its router and a clock. It records the calls that the router makes.
+type fakeGateway struct {
+	t          *testing.T
+	router     *Router
+	now        time.Duration
+	actions    []string                 // calls of Gateway methods and answers, a line each
+	sent       []sendRecord             // calls of Route
+	ended      map[uint64]string        // final answer of a request: "served", "refuse" or "lose"
+	lastID     uint64                   // id of the last request
+	answerBy   map[uint64]time.Duration // time by which a request needs its final answer
+	lastReason Reason                   // of the last refused or lost request
+	lastPause  time.Duration            // that the client of the last refused request was asked for
+
+	recountBeforeEvent bool // recompute the router's sums before each event, since the test edits the state of workers
+}
+
+// sendRecord is one Route call; attemptIndex counts the sends of its request from 0.
+type sendRecord struct {
+	id           uint64
+	host         string
+	attemptIndex int
+	at           time.Duration
+}
+
+func (f *fakeGateway) record(format string, a ...any) {
+	f.actions = append(f.actions, fmt.Sprintf(format, a...))
+}
+func (f *fakeGateway) Route(id uint64, host string, expireAt time.Duration) {
+	attempt := 0
 	for _, s := range f.sent {
 		if s.id == id {
-			shot++
+			attempt++
 		}
 	}
-	f.sent = append(f.sent, sent{id, host, shot, f.now})
-	f.note("%v route %d %s %v", f.now, id, host, expireAt)
+	f.sent = append(f.sent, sendRecord{id, host, attempt, f.now})
+	f.record("%v route %d %s %v", f.now, id, host, expireAt)
 }
-func (f *fake) Retract(id uint64, shot int) { f.note("%v retract %d %d", f.now, id, shot) }
-func (f *fake) final(id uint64, how string) {
-	if was, dup := f.ended[id]; dup {
-		f.t.Errorf("request %d was answered twice: %s, %s", id, was, how)
+func (f *fakeGateway) Retract(id uint64, attempt int) {
+	f.record("%v retract %d %d", f.now, id, attempt)
+}
+
+// recordAnswer records the final answer of a request. It fails the test for a second or late answer.
+func (f *fakeGateway) recordAnswer(id uint64, how string) {
+	if before, twice := f.ended[id]; twice {
+		f.t.Errorf("request %d was answered twice: %s, %s", id, before, how)
 	}
-	if due, ok := f.due[id]; ok && f.now > due {
-		f.t.Errorf("request %d: %s %v late", id, how, f.now-due)
+	if limit, ok := f.answerBy[id]; ok && f.now > limit {
+		f.t.Errorf("request %d: answered (%s) %v late", id, how, f.now-limit)
 	}
 	f.ended[id] = how
-	f.note("%v %s %d", f.now, how, id)
-}
-func (f *fake) Refuse(id uint64, pause time.Duration, why Reason) {
-	f.why, f.pause = why, pause
-	f.final(id, "refuse")
-}
-func (f *fake) Fail(id uint64, why Reason)        { f.why = why; f.final(id, "lose") }
-func (f *fake) Order(host, fn string, n int)      { f.note("%v order %s %s %d", f.now, host, fn, n) }
-func (f *fake) Unload(host, fn string)            { f.note("shelve %s %s", host, fn) }
-func (f *fake) Probe(host string)                 { f.note("probe %s", host) }
-func (f *fake) SendPeer(peer int, content []byte) { f.note("tell %d", peer) }
-func (f *fake) Watch(on bool)                     { f.note("watch %v", on) }
-func (f *fake) Lookup()                           { f.note("lookup") }
-func (f *fake) Release(host string)               { f.note("release %s", host) }
-func (f *fake) WakeAt(after time.Duration, tok string) {
-}
-func (f *fake) Log(Notice) {}
-
-// site is a plain deployment: a safe, a keyed and an unsafe class, two tenants without allowances.
-func site() Settings {
+	f.record("%v %s %d", f.now, how, id)
+}
+func (f *fakeGateway) Refuse(id uint64, pause time.Duration, why Reason) {
+	f.lastReason, f.lastPause = why, pause
+	f.recordAnswer(id, "refuse")
+}
+func (f *fakeGateway) Fail(id uint64, why Reason) { f.lastReason = why; f.recordAnswer(id, "lose") }
+func (f *fakeGateway) Order(host, fn string, n int) {
+	f.record("%v order %s %s %d", f.now, host, fn, n)
+}
+func (f *fakeGateway) Unload(host, fn string)            { f.record("shelve %s %s", host, fn) }
+func (f *fakeGateway) Probe(host string)                 { f.record("probe %s", host) }
+func (f *fakeGateway) SendPeer(peer int, content []byte) { f.record("tell %d", peer) }
+func (f *fakeGateway) Watch(on bool)                     { f.record("watch %v", on) }
+func (f *fakeGateway) Lookup()                           { f.record("lookup") }
+func (f *fakeGateway) Release(host string)               { f.record("release %s", host) }
+func (f *fakeGateway) WakeAt(after time.Duration, tok string) {
+}
+func (f *fakeGateway) Log(Notice) {}
+
+// testSettings returns the settings of a plain deployment: a safe, an unsafe and two keyed classes, and two tenants
+// without allowances.
+func testSettings() Settings {
 	return Settings{
-		Classes: []Class{
+		Classes: []Class{ // 0: safe, 1: keyed for all workers, 2: unsafe, 3: keyed for a zone
 			{Aim: sec, Deadline: 4 * sec, Worth: 1, Effect: Safe},
 			{Aim: sec, Deadline: 4 * sec, Worth: 2, Effect: Keyed, KeyScope: AllWorkers, Window: 2 * sec},
 			{Aim: sec, Deadline: 4 * sec, Worth: 5, Effect: Unsafe, Window: 5 * sec},
@@ -86,58 +96,60 @@
 	}
 }
 
-// start is open with workers of which the test may change what is known.
-func start(t *testing.T, s Settings, n int) *fake {
+// newFake is newFakeWithoutRecount with workers whose recorded state the test may change.
+func newFake(t *testing.T, settings Settings, n int) *fakeGateway {
 	t.Helper()
-	f := open(t, s, n)
-	f.edits = true
-	for _, w := range f.r.ready {
-		f.r.ownUsage(w)
+	f := newFakeWithoutRecount(t, settings, n)
+	f.recountBeforeEvent = true
+	for _, w := range f.router.ready {
+		f.router.ownUsage(w)
 	}
 	return f
 }
 
-// open opens a router with n ready workers w0, w1, ...; odd ones are in zone 1.
-func open(t *testing.T, s Settings, n int) *fake {
+// newFakeWithoutRecount returns a router with n ready workers w0, w1, ...; odd ones are in zone 1, the others in zone 0.
+func newFakeWithoutRecount(t *testing.T, settings Settings, n int) *fakeGateway {
 	t.Helper()
-	f := &fake{t: t, ended: map[uint64]string{}, due: map[uint64]time.Duration{}, now: 100 * sec}
-	r, err := New(s, 7, f)
+	f := &fakeGateway{t: t, ended: map[uint64]string{}, answerBy: map[uint64]time.Duration{}, now: 100 * sec}
+	r, err := New(settings, 7, f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.r = r
-	l := List{Whole: true}
+	f.router = r
+	list := List{Whole: true}
 	for i := range n {
-		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("w", i), Zone: i % 2, Cell: i / 2})
+		list.Hosts = append(list.Hosts, Host{Name: fmt.Sprint("w", i), Zone: i % 2, Cell: i / 2})
 	}
-	f.do(l)
+	f.handle(list)
 	return f
 }
 
-func (f *fake) do(e Event) {
-	if f.edits {
-		f.r.recount()
+// handle passes an event to the router at the current time.
+func (f *fakeGateway) handle(e Event) {
+	if f.recountBeforeEvent {
+		f.router.recount()
 	}
-	f.r.Handle(f.now, e)
+	f.router.Handle(f.now, e)
 }
 
-// pass lets time pass with the timer at its pace.
-func (f *fake) pass(d time.Duration) {
+// advance moves the clock by d and fires the sweep timer at its interval.
+func (f *fakeGateway) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += sweepInterval
-		f.do(Wake{Token: "sweep"})
+		f.handle(Wake{Token: "sweep"})
 	}
 }
 
-func (f *fake) call(class, tenant int, fn string) uint64 {
-	f.next++
-	f.due[f.next] = f.now + 4*sec + site().AnswerSlack
-	f.do(Arrival{ID: f.next, Class: class, Tenant: tenant, Function: fn, TTL: 4 * sec, Lanes: 2})
-	return f.next
+// call reports a new request, with a deadline in 4 s, and returns its id.
+func (f *fakeGateway) call(class, tenant int, fn string) uint64 {
+	f.lastID++
+	f.answerBy[f.lastID] = f.now + 4*sec + testSettings().AnswerSlack
+	f.handle(Arrival{ID: f.lastID, Class: class, Tenant: tenant, Function: fn, TTL: 4 * sec, Lanes: 2})
+	return f.lastID
 }
 
-// of lists the sends of a request.
-func (f *fake) of(id uint64) (list []sent) {
+// sendsOf returns the sends of a request.
+func (f *fakeGateway) sendsOf(id uint64) (list []sendRecord) {
 	for _, s := range f.sent {
 		if s.id == id {
 			list = append(list, s)
@@ -146,7 +158,8 @@
 	return list
 }
 
-func (f *fake) last() sent {
+// sentAt returns the most recent send and fails the test if there is none.
+func (f *fakeGateway) lastSend() sendRecord {
 	f.t.Helper()
 	if len(f.sent) == 0 {
 		f.t.Fatal("nothing was sent")
@@ -154,19 +167,21 @@
 	return f.sent[len(f.sent)-1]
 }
 
-func (f *fake) result(s sent, o Outcome, n Note) {
-	if o == Good {
-		f.final(s.id, "served")
+// reportResult reports the outcome of a send to the router. A Good one is its request's final answer.
+func (f *fakeGateway) reportResult(s sendRecord, outcome Outcome, note Note) {
+	if outcome == Good {
+		f.recordAnswer(s.id, "served")
 	}
-	f.do(Result{ID: s.id, Attempt: s.shot, Host: s.host, Outcome: o, Took: f.now - s.at, Final: o == Good, Note: n, Contention: -1})
+	f.handle(Result{ID: s.id, Attempt: s.attemptIndex, Host: s.host, Outcome: outcome, Took: f.now - s.at, Final: outcome == Good,
+		Note: note, Contention: -1})
 }
 
-// warm has fn stand at a worker and returns its name.
-func (f *fake) warm(class int, fn string) string {
+// warmUp loads a copy of fn by a call and returns the name of its worker.
+func (f *fakeGateway) warmUp(class int, fn string) string {
 	f.t.Helper()
 	id := f.call(class, 0, fn)
-	f.pass(50 * time.Millisecond)
-	s := f.of(id)[0]
-	f.result(s, Good, BeganLoad)
+	f.advance(50 * time.Millisecond)
+	s := f.sendsOf(id)[0]
+	f.reportResult(s, Good, BeganLoad)
 	return s.host
 }
--- a/decide/homes_test.go
+++ b/decide/homes_test.go
@@ -8,96 +8,100 @@
 	"time"
 )
 
-// A gateway of a few calls a second, one of 100: a function that makes up much of its traffic gets several homes,
-// a rare one stays at one; gateways agree on them, and a hot one's calls are spread over them.
+// For one of 100 gateways with a few calls a second each: a function that makes up much of the traffic gets several
+// homes, and a rarely called one has a single home. Gateways agree on the homes, and the calls of a hot function are
+// spread over them.
 func TestHotFunctionHasSeveralAgreedHomes(t *testing.T) {
 	homes := func(seed uint64) map[string]int {
-		s := site()
-		s.Gateways, s.Orders = 100, false // with orders a home is used once its copy stands
-		f := start(t, s, 30)
-		f.r.rng = rand.New(rand.NewPCG(seed, 1))
-		at := map[string]int{}
+		settings := testSettings()
+		settings.Gateways, settings.Orders = 100, false // with orders a home is used only once its copy is loaded
+		f := newFake(t, settings, 30)
+		f.router.rng = rand.New(rand.NewPCG(seed, 1))
+		hotCalls := map[string]int{} // by worker
 		for i := range 150 {
 			fn := "hot"
 			if i%3 == 0 {
 				fn = fmt.Sprint("rare", i)
 			}
 			id := f.call(0, 0, fn)
-			f.pass(200 * time.Millisecond) // late enough for the other homes to be thought freer
-			f.result(f.of(id)[0], Good, FoundWarm)
-			if at[f.of(id)[0].host]++; fn != "hot" {
-				at[f.of(id)[0].host]--
-				if n := f.r.homeCount(&request{fn: f.r.funcs[fn]}); n > 1 {
-					t.Fatalf("%s, called once, has %d homes", fn, n)
+			f.advance(200 * time.Millisecond) // so late that the other homes count as less loaded
+			f.reportResult(f.sendsOf(id)[0], Good, FoundWarm)
+			if hotCalls[f.sendsOf(id)[0].host]++; fn != "hot" {
+				hotCalls[f.sendsOf(id)[0].host]--
+				if n := f.router.homeCount(&request{fn: f.router.funcs[fn]}); n > 1 {
+					t.Fatalf("%s was called once and has %d homes, want 1", fn, n)
 				}
 			}
 		}
-		for w, n := range at {
+		for name, n := range hotCalls {
 			if n == 0 {
-				delete(at, w)
+				delete(hotCalls, name)
 			}
 		}
-		return at
+		return hotCalls
 	}
-	a, b := homes(1), homes(2)
-	if len(a) < 8 {
-		t.Errorf("a function with two thirds of the traffic was sent to %d workers only", len(a))
+	first, second := homes(1), homes(2)
+	if len(first) < 8 {
+		t.Errorf("a function with two thirds of the traffic was sent to %d workers, want at least 8", len(first))
 	}
-	for w, n := range a {
+	for name, n := range first {
 		if n > 50 {
-			t.Errorf("%d of 100 hot calls went to one worker", n)
+			t.Errorf("%d of 100 hot calls went to one worker, want at most 50", n)
 		}
-		if n > 5 && b[w] == 0 {
-			t.Errorf("%s has %d of one gateway's calls and none of the other's", w, n)
+		if n > 5 && second[name] == 0 {
+			t.Errorf("%s got %d calls from one gateway and none from the other", name, n)
 		}
 	}
 }
 
-// Popularity moves on, and idle copies lapse after the keep-alive: a function that was hot must give its homes up about
-// as soon, and one that became hot get them. Counted over 30 s, calls went to homes for what was asked a day ago.
+// Popularity changes, and idle copies are unloaded after the keep-alive. A function that is no longer hot must lose its
+// homes about as soon, and one that became hot must get several. When calls were counted over 30 s, calls went to homes
+// of functions that had been popular long before.
 func TestHomesFollowPopularityWithinTheKeepAlive(t *testing.T) {
-	s := site()
-	s.Gateways, s.KeepAlive = 100, 5*sec
-	f := start(t, s, 30)
-	spell := func(fn string) {
+	settings := testSettings()
+	settings.Gateways, settings.KeepAlive = 100, 5*sec
+	f := newFake(t, settings, 30)
+	call100 := func(fn string) {
 		for range 100 {
 			id := f.call(0, 0, fn)
-			f.pass(50 * time.Millisecond)
-			f.result(f.of(id)[0], Good, FoundWarm)
+			f.advance(50 * time.Millisecond)
+			f.reportResult(f.sendsOf(id)[0], Good, FoundWarm)
 		}
 	}
-	spell("old")
-	was := f.r.homeCount(&request{fn: f.r.funcs["old"]})
-	spell("new")
+	call100("old")
+	before := f.router.homeCount(&request{fn: f.router.funcs["old"]})
+	call100("new")
 	f.call(0, 0, "old")
-	old, now := f.r.homeCount(&request{fn: f.r.funcs["old"]}), f.r.homeCount(&request{fn: f.r.funcs["new"]})
-	if was < 8 || now < was*2/3 || old > was/2 {
-		t.Errorf("%d homes while it was hot, %d a keep-alive later; %d for what is hot now", was, old, now)
+	old, now := f.router.homeCount(&request{fn: f.router.funcs["old"]}), f.router.homeCount(&request{fn: f.router.funcs["new"]})
+	if before < 8 || now < before*2/3 || old > before/2 {
+		t.Errorf("%d homes while the old function was hot, %d a keep-alive later; %d for the new one", before, old, now)
 	}
 }
 
-// Calls sent to another home of a hot function waited there for its load though copies stood idle elsewhere. Now the copy
-// is ordered, one at a time, and the home is used once it stands; without orders left a call loads as before.
+// Calls sent to a further home of a hot function had waited there for the load although other copies were idle. The copy
+// is ordered instead, one at a time, and the home is used once it is loaded. When no order is left in the ration, a call
+// has the copy loaded.
 func TestCopiesAtFurtherHomesAreOrderedAhead(t *testing.T) {
-	s := site()
-	s.FreeOrders, s.OrderShare = 1, 0
-	f := start(t, s, 3)
-	home := f.warm(0, "fn")
-	fn := f.r.funcs["fn"]
-	hot := func() { fn.recentCalls, f.r.recentCalls, f.r.calledAt, fn.usedAt = 3000, 3000, f.now, f.now }
-	hot()
-	f.r.workers[home].latencyRatio = 0.7 // busier than the others
+	settings := testSettings()
+	settings.FreeOrders, settings.OrderShare = 1, 0
+	f := newFake(t, settings, 3)
+	home := f.warmUp(0, "fn")
+	fn := f.router.funcs["fn"]
+	makeHot := func() { fn.recentCalls, f.router.recentCalls, f.router.calledAt, fn.usedAt = 3000, 3000, f.now, f.now }
+	makeHot()
+	f.router.workers[home].latencyRatio = 0.7 // busier than the others
 	orders := func() (n int) {
-		for _, a := range f.acts {
-			if strings.Contains(a, " order ") {
+		for _, action := range f.actions {
+			if strings.Contains(action, " order ") {
 				n++
 			}
 		}
 		return n
 	}
 	for range 2 {
-		if id := f.call(0, 0, "fn"); f.of(id)[0].host != home || orders() != 1 {
-			t.Fatalf("sent to %s with %d orders, want %s, where it stands, and one order", f.last().host, orders(), home)
+		if id := f.call(0, 0, "fn"); f.sendsOf(id)[0].host != home || orders() != 1 {
+			t.Fatalf("sent to %s with %d orders, want %s, where the copy is loaded, and one order", f.lastSend().host,
+				orders(), home)
 		}
 	}
 	var next string
@@ -106,115 +110,120 @@
 			next = p.worker.host.Name
 		}
 	}
-	f.do(Loaded{Host: next, Function: "fn", Outcome: Good, Copies: 1})
-	if id := f.call(0, 0, "fn"); f.of(id)[0].host != next {
+	f.handle(Loaded{Host: next, Function: "fn", Outcome: Good, Copies: 1})
+	if id := f.call(0, 0, "fn"); f.sendsOf(id)[0].host != next {
 		t.Error("the copy that was ordered is not used")
 	}
-	f.r.workers[next].latencyRatio, f.r.workers[home].latencyRatio = 0.35, 0.35
-	if id := f.call(0, 0, "fn"); f.of(id)[0].host == home || f.of(id)[0].host == next || orders() != 1 {
-		t.Error("with no order left the third home should load by the call")
+	f.router.workers[next].latencyRatio, f.router.workers[home].latencyRatio = 0.35, 0.35
+	if id := f.call(0, 0, "fn"); f.sendsOf(id)[0].host == home || f.sendsOf(id)[0].host == next || orders() != 1 {
+		t.Errorf("sent to %s with %d orders; want a load by the call at the third home, since no order is left",
+			f.sendsOf(id)[0].host, orders())
 	}
 }
 
-// In a fleet that answers in a third of the aim, copies for a hot function's further homes took cores, memory and the
-// store from calls: no order and no load for one, until answers are prompt again.
+// In a fleet whose answers take a third of the aim, copies for a hot function's further homes took cores, memory and
+// function store capacity from calls. No such copy is ordered or loaded until answers are prompt again.
 func TestBusyFleetGetsNoFurtherCopies(t *testing.T) {
-	for part, further := range map[float64]bool{0.32: false, 0.18: true} {
-		f := start(t, site(), 3)
-		home := f.warm(0, "fn")
-		fn := f.r.funcs["fn"]
-		fn.recentCalls, f.r.recentCalls, f.r.calledAt, fn.usedAt = 3000, 3000, f.now, f.now
-		for _, w := range f.r.ready {
+	for part, ordered := range map[float64]bool{0.32: false, 0.18: true} {
+		f := newFake(t, testSettings(), 3)
+		home := f.warmUp(0, "fn")
+		fn := f.router.funcs["fn"]
+		fn.recentCalls, f.router.recentCalls, f.router.calledAt, fn.usedAt = 3000, 3000, f.now, f.now
+		for _, w := range f.router.ready {
 			w.latencyRatio = part
 		}
-		f.r.workers[home].latencyRatio += 0.05 // the other homes are thought freer
-		f.r.workers[home].deficit[0] = -1
-		n := len(f.acts)
+		f.router.workers[home].latencyRatio += 0.05 // the other homes count as less loaded
+		f.router.workers[home].deficit[0] = -1
+		n := len(f.actions)
 		id := f.call(0, 0, "fn")
-		if f.of(id)[0].host != home || strings.Contains(strings.Join(f.acts[n:], " "), "order") != further {
-			t.Errorf("at %v of the aim: another copy wanted: %v; %v", part, further, f.acts[n:])
+		if f.sendsOf(id)[0].host != home || strings.Contains(strings.Join(f.actions[n:], " "), "order") != ordered {
+			t.Errorf("answers take %v of the aim: want a call to %s and an order for another copy: %v; got %v", part, home,
+				ordered, f.actions[n:])
 		}
 	}
 }
 
-// A worker that takes no orders (one reached by MQTT, or one without room) still gets calls that load there.
+// A worker that rejects orders, because it is reached by MQTT or has no room, still gets calls that load the function.
 func TestWorkerThatTakesNoOrdersGetsCalls(t *testing.T) {
-	f := start(t, site(), 2)
-	home := f.warm(0, "fn")
-	fn := f.r.funcs["fn"]
-	fn.recentCalls, f.r.recentCalls, f.r.calledAt, fn.usedAt = 3000, 3000, f.now, f.now
-	f.r.workers[home].latencyRatio = 0.45
+	f := newFake(t, testSettings(), 2)
+	home := f.warmUp(0, "fn")
+	fn := f.router.funcs["fn"]
+	fn.recentCalls, f.router.recentCalls, f.router.calledAt, fn.usedAt = 3000, 3000, f.now, f.now
+	f.router.workers[home].latencyRatio = 0.45
 	f.call(0, 0, "fn")
 	other := map[string]string{"w0": "w1", "w1": "w0"}[home]
-	f.do(Loaded{Host: other, Function: "fn", Outcome: Full})
-	n := len(f.acts)
-	if id := f.call(0, 0, "fn"); f.of(id)[0].host != other {
-		t.Errorf("sent to %s, want %s to load it by a call: %v", f.of(id)[0].host, other, f.acts[n:])
+	f.handle(Loaded{Host: other, Function: "fn", Outcome: Full})
+	n := len(f.actions)
+	if id := f.call(0, 0, "fn"); f.sendsOf(id)[0].host != other {
+		t.Errorf("sent to %s, want %s which loads the function by a call: %v", f.sendsOf(id)[0].host, other, f.actions[n:])
 	}
 }
 
-// Where homes turn out cold, memory bears fewer copies: the homes shrink, and grow back when calls find them.
-func TestHomesShrinkWhereMemoryBearsFewer(t *testing.T) {
-	s := site()
-	s.Gateways = 100
-	f := start(t, s, 30)
+// When calls to homes find no copy, memory holds fewer copies than thought. The number of homes shrinks, and grows back
+// when calls find copies again.
+func TestHomesShrinkWhenCopiesAreEvicted(t *testing.T) {
+	settings := testSettings()
+	settings.Gateways = 100
+	f := newFake(t, settings, 30)
 	for range 60 {
 		f.call(0, 0, "fn")
-		f.pass(50 * time.Millisecond)
-		f.result(f.last(), Good, FoundWarm)
+		f.advance(50 * time.Millisecond)
+		f.reportResult(f.lastSend(), Good, FoundWarm)
 	}
-	q := &request{fn: f.r.funcs["fn"]}
-	before := f.r.homeCount(q)
-	a := &attempt{worker: f.r.ready[0], placement: f.r.ensurePlacement(q.fn, f.r.ready[0]), warm: true}
+	req := &request{fn: f.router.funcs["fn"]}
+	before := f.router.homeCount(req)
+	warmAttempt := &attempt{worker: f.router.ready[0], placement: f.router.ensurePlacement(req.fn, f.router.ready[0]), warm: true}
 	for range 10 {
-		f.r.learn(q, a, Result{Outcome: Good, Note: BeganLoad})
+		f.router.learn(req, warmAttempt, Result{Outcome: Good, Note: BeganLoad})
 	}
-	if after := f.r.homeCount(q); after >= before {
-		t.Errorf("%d homes before ten pushed-out copies, %d after", before, after)
+	if after := f.router.homeCount(req); after >= before {
+		t.Errorf("%d homes before ten evicted copies and %d after, want fewer", before, after)
 	}
 	for range 500 {
-		f.r.learn(q, a, Result{Outcome: Good, Note: FoundWarm, Took: 250 * time.Millisecond})
+		f.router.learn(req, warmAttempt, Result{Outcome: Good, Note: FoundWarm, Took: 250 * time.Millisecond})
 	}
-	if again := f.r.homeCount(q); again < before {
-		t.Errorf("%d homes before, %d when all is found again", before, again)
+	if again := f.router.homeCount(req); again < before {
+		t.Errorf("%d homes before and %d after all calls found copies again, want no fewer", before, again)
 	}
 }
 
-// A gateway that has just started has seen few calls: chance repeats do not scatter loads.
-func TestStartedGatewayDoesNotScatterLoads(t *testing.T) {
-	s := site()
-	s.Gateways = 100
-	f := start(t, s, 30)
-	at := map[string]bool{}
+// A gateway that has just started has seen few calls. If a function happens to be called repeatedly among these, its loads
+// are not scattered over many workers.
+func TestNewGatewayDoesNotScatterLoads(t *testing.T) {
+	settings := testSettings()
+	settings.Gateways = 100
+	f := newFake(t, settings, 30)
+	workers := map[string]bool{}
 	for range 3 {
 		id := f.call(0, 0, "fn")
-		f.pass(200 * time.Millisecond)
-		at[f.of(id)[0].host] = true
-		f.result(f.of(id)[0], Good, FoundWarm)
+		f.advance(200 * time.Millisecond)
+		workers[f.sendsOf(id)[0].host] = true
+		f.reportResult(f.sendsOf(id)[0], Good, FoundWarm)
 	}
-	if len(at) > 2 {
-		t.Errorf("three calls of one function went to %d workers", len(at))
+	if len(workers) > 2 {
+		t.Errorf("three calls of one function went to %d workers, want at most 2", len(workers))
 	}
 }
 
-// A gateway of few calls has none of its own in flight anywhere: what an answer told of a worker's lateness stands for
-// the calls of the others there, and the home that answers late is taken only where no prompt one is free.
+// A gateway with few calls mostly has none in flight, so its own counts do not show the load that others put on a worker.
+// The latency of a worker's last answers stands for these calls: a home that answers late is used only when no prompt
+// one is free.
 func TestLateHomesAreUsedLess(t *testing.T) {
-	f := start(t, site(), 3)
-	f.warm(0, "fn")
-	fn := f.r.funcs["fn"]
-	for _, w := range f.r.ready {
-		p := f.r.ensurePlacement(fn, w)
+	f := newFake(t, testSettings(), 3)
+	f.warmUp(0, "fn")
+	fn := f.router.funcs["fn"]
+	for _, w := range f.router.ready {
+		p := f.router.ensurePlacement(fn, w)
 		p.sentAt, p.loaded = f.now, true
 		w.deficit[0] = 1e6
 	}
-	late := f.r.ready[1]
-	f.r.learn(&request{fn: fn}, &attempt{worker: late, placement: fn.placementAt(late)}, Result{Outcome: Good, Note: FoundWarm, Took: 2 * sec})
+	late := f.router.ready[1]
+	f.router.learn(&request{fn: fn}, &attempt{worker: late, placement: fn.placementAt(late)}, Result{Outcome: Good, Note: FoundWarm, Took: 2 * sec})
 	for range 12 {
 		id := f.call(0, 0, "fn")
-		if s := f.of(id)[0]; s.host == late.host.Name {
-			t.Fatal("sent to the home that answers late though others are as free by our count")
+		if s := f.sendsOf(id)[0]; s.host == late.host.Name {
+			t.Fatal("sent to the home that answers late though others have as few calls of this gateway in flight")
 		}
-		f.result(f.of(id)[0], Good, FoundWarm)
+		f.reportResult(f.sendsOf(id)[0], Good, FoundWarm)
 	}
 }
--- a/decide/lease_model_test.go
+++ b/decide/lease_model_test.go
@@ -7,84 +7,89 @@
 	"time"
 )
 
-// drainPlay is workers that drain at random while the list comes and goes, and calls at random.
-type drainPlay struct {
-	*fake
-	rng    *rand.Rand
-	began  map[string]time.Duration // when a worker began to drain
-	seen   int                      // sends that have been judged
-	orders int                      // actions that have been judged
+// drainScenario simulates calls at random times to workers that begin to drain at random times, with a list that is
+// confirmed in some steps only.
+type drainScenario struct {
+	*fakeGateway
+	rng            *rand.Rand
+	drainStart     map[string]time.Duration // when each draining worker began to drain
+	checkedSends   int                      // number of sends checked so far
+	checkedActions int                      // number of actions checked so far
 }
 
-// step lets a moment pass: answers come, calls arrive, workers begin to drain, and the list speaks if it can.
-func (p *drainPlay) step(heard bool) {
-	p.pass(100 * time.Millisecond)
-	if heard {
-		p.do(Current{AsOf: p.now})
+// step advances the clock by 100 ms, confirms the list if listConfirmed, adds calls, and answers sends and probes. Orders
+// and sends are checked.
+func (d *drainScenario) step(listConfirmed bool) {
+	d.advance(100 * time.Millisecond)
+	if listConfirmed {
+		d.handle(Current{AsOf: d.now})
 	}
-	for range p.rng.IntN(3) {
-		p.call(0, 0, fmt.Sprint("f", p.rng.IntN(6)))
+	for range d.rng.IntN(3) {
+		d.call(0, 0, fmt.Sprint("f", d.rng.IntN(6)))
 	}
-	for ; p.seen < len(p.sent); p.seen++ {
-		s := p.sent[p.seen]
-		p.judge(s.host, s.at)
-		if at, drains := p.began[s.host]; drains && p.now-at > p.accepts(s.host) {
-			p.result(s, Full, NoNote)
-		} else if p.ended[s.id] == "" {
-			p.result(s, Good, FoundWarm)
+	for ; d.checkedSends < len(d.sent); d.checkedSends++ {
+		s := d.sent[d.checkedSends]
+		d.checkSend(s.host, s.at)
+		if at, drains := d.drainStart[s.host]; drains && d.now-at > d.acceptsFor(s.host) {
+			d.reportResult(s, Full, NoNote)
+		} else if d.ended[s.id] == "" {
+			d.reportResult(s, Good, FoundWarm)
 		}
 	}
-	for ; p.orders < len(p.acts); p.orders++ {
+	for ; d.checkedActions < len(d.actions); d.checkedActions++ {
 		var at time.Duration
 		var text, host, fn string
-		if n, _ := fmt.Sscanf(p.acts[p.orders], "%s order %s %s", &text, &host, &fn); n == 3 {
+		if n, _ := fmt.Sscanf(d.actions[d.checkedActions], "%s order %s %s", &text, &host, &fn); n == 3 {
 			at, _ = time.ParseDuration(text)
-			p.judge(host, at)
-		} else if n, _ := fmt.Sscanf(p.acts[p.orders], "probe %s", &host); n == 1 {
-			how := Good
-			if _, drains := p.began[host]; drains {
-				how = Bad
+			d.checkSend(host, at)
+		} else if n, _ := fmt.Sscanf(d.actions[d.checkedActions], "probe %s", &host); n == 1 {
+			outcome := Good
+			if _, drains := d.drainStart[host]; drains {
+				outcome = Bad
 			}
-			p.do(Probed{Host: host, Outcome: how})
+			d.handle(Probed{Host: host, Outcome: outcome})
 		}
 	}
 }
 
-// accepts is how long a worker goes on taking calls while it drains: no longer than gateways may send it some, and 2 s where that is
-// less.
-func (p *drainPlay) accepts(host string) time.Duration {
-	return max(2*sec, p.r.settings.DrainGrace) * time.Duration(len(host)+int(host[1])%3) / 4
+// acceptsFor returns how long a draining worker goes on accepting calls: at most the grace in which gateways may still
+// send calls, or 2 s if that is longer.
+func (d *drainScenario) acceptsFor(host string) time.Duration {
+	return max(2*sec, d.router.settings.DrainGrace) * time.Duration(len(host)+int(host[1])%3) / 4
 }
 
-func (p *drainPlay) judge(host string, at time.Duration) {
-	if drain, drains := p.began[host]; drains && at > drain+p.r.settings.MaxListDelay+p.r.settings.DrainGrace {
-		p.t.Errorf("%s gets something %v after it began to drain", host, at-drain)
+// checkSend fails the test if a call or order was sent to a worker that must have been known to drain by then.
+func (d *drainScenario) checkSend(host string, at time.Duration) {
+	if drain, drains := d.drainStart[host]; drains && at > drain+d.router.settings.MaxListDelay+d.router.settings.DrainGrace {
+		d.t.Errorf("%s was sent a call or order %v after it began to drain", host, at-drain)
 	}
 }
 
-// Whatever the calls, whenever the list falls silent and whenever workers begin to drain: none gets a call or an order once
-// the drain counts as told and the grace is over. Guards against trusting a list for good that nothing is heard of.
-func TestNothingIsSentOnceADrainCountsAsTold(t *testing.T) {
+// A worker gets no call or order once its drain counts as announced by the list and the grace is over, whatever the calls
+// and whenever the list becomes silent and workers begin to drain. Guards against trusting a list indefinitely that is
+// no longer confirmed.
+func TestNothingIsSentAfterDrainNoticeAndGrace(t *testing.T) {
 	for seed := range uint64(40) {
-		s := leasing()
-		s.Probing = seed%2 == 1
-		s.DrainGrace = []time.Duration{250 * time.Millisecond, 2 * sec, 6 * sec}[seed%3]
-		p := &drainPlay{fake: listed(t, s, 5), rng: rand.New(rand.NewPCG(seed, 1)), began: map[string]time.Duration{}}
+		settings := leaseSettings()
+		settings.Probing = seed%2 == 1
+		settings.DrainGrace = []time.Duration{250 * time.Millisecond, 2 * sec, 6 * sec}[seed%3]
+		scenario := &drainScenario{fakeGateway: newFakeWithFreshList(t, settings, 5), rng: rand.New(rand.NewPCG(seed, 1)),
+			drainStart: map[string]time.Duration{}}
 		for range 20 {
-			p.step(true)
+			scenario.step(true)
 		}
-		served := 0
+		sentEarlier := 0
 		for i := range 250 {
-			if p.rng.IntN(40) == 0 && len(p.began) < 3 {
-				p.began[fmt.Sprint("w", p.rng.IntN(5))] = p.now
+			if scenario.rng.IntN(40) == 0 && len(scenario.drainStart) < 3 {
+				scenario.drainStart[fmt.Sprint("w", scenario.rng.IntN(5))] = scenario.now
 			}
-			p.step(false)
+			scenario.step(false)
 			if i == 200 {
-				served = len(p.sent)
+				sentEarlier = len(scenario.sent)
 			}
 		}
-		if len(p.sent) == served {
-			t.Errorf("seed %d: nothing is sent any more, with %d of 5 workers draining", seed, len(p.began))
+		if len(scenario.sent) == sentEarlier {
+			t.Errorf("seed %d: no call is sent in the last steps though only %d of 5 workers drain", seed, len(scenario.drainStart))
 		}
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestDrainingWorkerGetsNothing(t *testing.T) {
-	f := start(t, site(), 2)
-	home := f.warm(0, "fn")
-	f.do(List{Hosts: []Host{{Name: home, State: Draining}}})
+	f := newFake(t, testSettings(), 2)
+	home := f.warmUp(0, "fn")
+	f.handle(List{Hosts: []Host{{Name: home, State: Draining}}})
 	n := len(f.sent)
 	for range 6 {
 		f.call(0, 0, "fn")
@@ -21,134 +21,136 @@
 			t.Fatal("sent to a draining worker")
 		}
 	}
-	if f.r.order(f.r.funcs["fn"], f.r.workers[home], 1) {
-		t.Error("ordered at a draining worker")
+	if f.router.order(f.router.funcs["fn"], f.router.workers[home], 1) {
+		t.Error("load ordered at a draining worker")
 	}
 }
 
-func TestAbsentFromAWholeListIsGone(t *testing.T) {
-	f := start(t, site(), 1)
+func TestWorkerAbsentFromWholeListIsGone(t *testing.T) {
+	f := newFake(t, testSettings(), 1)
 	id := f.call(0, 0, "fn")
-	f.do(List{Whole: true})
+	f.handle(List{Whole: true})
 	f.call(0, 0, "fn")
 	if len(f.sent) != 1 {
-		t.Error("sent to a worker that left")
+		t.Error("sent to a worker that the whole list no longer contains")
 	}
-	f.result(f.of(id)[0], Reset, NoNote) // its result still counts
-	f.do(List{Whole: true})
+	f.reportResult(f.sendsOf(id)[0], Reset, NoNote) // results of its attempts are still accepted
+	f.handle(List{Whole: true})
 }
 
-// Many gateways, each with a budget far below one call: what all of them together send to one cold worker stays
-// within the rule's budget in every window (floripa at full size: 7 times what it could do, 4 allowed).
-func TestManyGatewaysDoNotPushOverAColdWorker(t *testing.T) {
-	const gateways, ready, each = 90, 30, 4.0 // calls a second that a gateway has served
-	s := site()
-	s.Gateways = gateways
-	var at []time.Duration
+// Each of many gateways has a budget of far less than one call for a cold worker. What all of them together send to the
+// worker stays within the settings' budget in every window. In a large fleet it had been 7 times the worker's capacity,
+// where 4 times is allowed.
+func TestManyGatewaysDoNotOverloadColdWorker(t *testing.T) {
+	const gateways, ready, served = 90, 30, 4.0 // served: calls a second by each gateway
+	settings := testSettings()
+	settings.Gateways = gateways
+	var sendTimes []time.Duration
 	for i := range gateways {
-		s.Self = i
-		f := start(t, s, ready-1)
-		f.do(List{Hosts: []Host{{Name: "cold", Since: f.now}}})
-		w, began := f.r.workers["cold"], f.now
+		settings.Self = i
+		f := newFake(t, settings, ready-1)
+		f.handle(List{Hosts: []Host{{Name: "cold", Since: f.now}}})
+		worker, began := f.router.workers["cold"], f.now
 		for f.now < began+3*sec {
-			f.r.servedRate, f.r.servedAt = each, f.now
-			f.r.now = f.now
-			f.r.meanWork, f.r.classes[0].work = 1, 1
-			for f.r.withinColdBudget(&request{}, w) { // as many as it would
-				w.coldSends = append(w.coldSends, sentWork{f.now, 1})
-				at = append(at, f.now-began)
+			f.router.servedRate, f.router.servedAt = served, f.now
+			f.router.now = f.now
+			f.router.meanWork, f.router.classes[0].work = 1, 1
+			for f.router.withinColdBudget(&request{}, worker) { // send as many as the router would
+				worker.coldSends = append(worker.coldSends, sentWork{f.now, 1})
+				sendTimes = append(sendTimes, f.now-began)
 			}
 			f.now += 10 * time.Millisecond
 		}
 	}
-	if len(at) == 0 {
-		t.Fatal("nobody may send to a cold worker")
+	if len(sendTimes) == 0 {
+		t.Fatal("no gateway may send to a cold worker")
 	}
-	slices.Sort(at)
-	capacity := gateways * each / ready / 0.8 // of a warm worker, calls a second; the fleet is at 80% of it
-	for i, from := range at {
-		share := s.ColdFrom + (1-s.ColdFrom)*from.Seconds()/s.ColdFor.Seconds()
-		n, _ := slices.BinarySearch(at, from+s.CollapseAfter)
-		if limit := s.CollapseMultiple * share * capacity * s.CollapseAfter.Seconds(); float64(n-i) > limit {
-			t.Fatalf("%d sends within the window from %v, %.1f allowed", n-i, from, limit)
+	slices.Sort(sendTimes)
+	capacity := gateways * served / ready / 0.8 // calls a second of a warm worker: the fleet runs at 80% of it
+	for i, from := range sendTimes {
+		share := settings.ColdFrom + (1-settings.ColdFrom)*from.Seconds()/settings.ColdFor.Seconds()
+		n, _ := slices.BinarySearch(sendTimes, from+settings.CollapseAfter)
+		if limit := settings.CollapseMultiple * share * capacity * settings.CollapseAfter.Seconds(); float64(n-i) > limit {
+			t.Fatalf("%d sends in the window from %v, want at most %.1f", n-i, from, limit)
 		}
 	}
 }
 
-// A fleet that is cold as a whole, and a gateway that has served nothing: it gets its turn all the same.
-func TestNothingServedYetStillGetsATurnAtAColdWorker(t *testing.T) {
-	f := start(t, site(), 0)
-	f.do(List{Hosts: []Host{{Name: "w0", Since: f.now}}})
+// In a fleet whose only worker is cold, a gateway that has not served any call may still send one to it.
+func TestGatewayWithoutServedCallsMayUseColdWorker(t *testing.T) {
+	f := newFake(t, testSettings(), 0)
+	f.handle(List{Hosts: []Host{{Name: "w0", Since: f.now}}})
 	for f.now < 106*sec && len(f.sent) == 0 {
 		f.call(0, 0, fmt.Sprint("fn", f.now))
-		f.pass(100 * time.Millisecond)
+		f.advance(100 * time.Millisecond)
 	}
 	if n := len(f.sent); n == 0 || n > 1 {
-		t.Errorf("%d sends to a worker that has just started, nothing known of its capacity", n)
+		t.Errorf("%d sends to a worker that has just started and whose capacity is unknown, want 1", n)
 	}
 }
 
-func TestRestartUnderTheSameNameIsColdAgain(t *testing.T) {
-	f := start(t, site(), 1)
-	f.warm(0, "fn")
-	f.do(List{Hosts: []Host{{Name: "w0", Since: f.now}}})
-	if home, _ := f.r.copyStatus(&request{fn: f.r.funcs["fn"]}); home {
-		t.Error("beliefs outlive the restart")
-	}
-	n := len(f.sent)
+func TestWorkerRestartedUnderSameNameIsCold(t *testing.T) {
+	f := newFake(t, testSettings(), 1)
+	f.warmUp(0, "fn")
+	f.handle(List{Hosts: []Host{{Name: "w0", Since: f.now}}})
+	if home, _ := f.router.copyStatus(&request{fn: f.router.funcs["fn"]}); home {
+		t.Error("the copy still counts as loaded after the worker's restart")
+	}
+	before := len(f.sent)
 	for range 20 {
 		f.call(0, 0, "fn")
 	}
-	if got := len(f.sent) - n; got > 1 {
-		t.Errorf("%d sends at once to a restarted worker", got)
+	if n := len(f.sent) - before; n > 1 {
+		t.Errorf("%d sends at once to a restarted worker, want at most 1", n)
 	}
 }
 
-// The budget rests on calls served: sends that only bounce must not widen it (floripa overload: 6.2 times).
-func TestBouncedSendsDoNotWidenTheColdBudget(t *testing.T) {
-	f := start(t, site(), 4)
+// The budget for cold workers derives from the rate of served calls. Sends that are rejected as full must not raise it, as
+// they did in an overload, by a factor of 6.2.
+func TestRejectedSendsDoNotRaiseColdBudget(t *testing.T) {
+	f := newFake(t, testSettings(), 4)
 	for i := range 200 {
 		id := f.call(0, 0, fmt.Sprint("fn", i))
-		for _, s := range f.of(id) {
-			f.result(s, Full, NoNote)
+		for _, s := range f.sendsOf(id) {
+			f.reportResult(s, Full, NoNote)
 		}
 	}
-	if f.r.recentRate() != 0 {
-		t.Errorf("a served rate of %v from nothing served", f.r.recentRate())
+	if f.router.recentRate() != 0 {
+		t.Errorf("a rate of %v served calls a second though none was served, want 0", f.router.recentRate())
 	}
 }
 
 func TestOrdersAreRationed(t *testing.T) {
-	s := site()
-	s.LoadsOnMiss = false
-	f := start(t, s, 40)
+	settings := testSettings()
+	settings.LoadsOnMiss = false
+	f := newFake(t, settings, 40)
 	for i := range 60 {
 		f.call(0, 0, fmt.Sprint("fn", i))
 		orders := 0
-		for _, a := range f.acts {
-			if strings.Contains(a, " order ") {
+		for _, action := range f.actions {
+			if strings.Contains(action, " order ") {
 				orders++
 			}
 		}
-		if float64(orders) > s.FreeOrders+s.OrderShare*float64(i+1) {
-			t.Fatalf("%d orders after %d calls", orders, i+1)
+		if float64(orders) > settings.FreeOrders+settings.OrderShare*float64(i+1) {
+			t.Fatalf("%d orders after %d calls, which is more than the ration", orders, i+1)
 		}
 	}
 }
 
-func TestWhereNothingLoadsTheCallWaitsForItsOrder(t *testing.T) {
-	s := site()
-	s.LoadsOnMiss = false
-	f := start(t, s, 3)
+func TestCallWaitsForOrderedLoadWithoutLoadOnMiss(t *testing.T) {
+	settings := testSettings()
+	settings.LoadsOnMiss = false
+	f := newFake(t, settings, 3)
 	id := f.call(0, 0, "fn")
-	if len(f.of(id)) != 0 || !strings.Contains(strings.Join(f.acts, ";"), "order") {
-		t.Fatalf("acts %v", f.acts)
+	if len(f.sendsOf(id)) != 0 || !strings.Contains(strings.Join(f.actions, ";"), "order") {
+		t.Fatalf("want the call held and a load ordered, got %v", f.actions)
 	}
 	var at, host, fn string
 	var n int
-	fmt.Sscanf(f.acts[len(f.acts)-1], "%s order %s %s %d", &at, &host, &fn, &n)
-	f.do(Loaded{Host: host, Function: "fn", Outcome: Good, Copies: 1})
-	if l := f.of(id); len(l) != 1 || l[0].host != host {
-		t.Errorf("sends %+v after the copy stood at %s", l, host)
+	fmt.Sscanf(f.actions[len(f.actions)-1], "%s order %s %s %d", &at, &host, &fn, &n)
+	f.handle(Loaded{Host: host, Function: "fn", Outcome: Good, Copies: 1})
+	if sends := f.sendsOf(id); len(sends) != 1 || sends[0].host != host {
+		t.Errorf("sends %+v after the copy was loaded at %s, want one there", sends, host)
 	}
 }
--- a/decide/listing_test.go
+++ b/decide/listing_test.go
@@ -8,92 +8,100 @@
 	"time"
 )
 
-// audit holds what is kept as it changes against a plain scan of all workers.
-func (f *fake) audit() {
+// checkListing compares the sums and sets that the listing updates incrementally with a plain scan of all workers.
+func (f *fakeGateway) checkListing() {
 	f.t.Helper()
-	l := &f.r.listing
-	idle, inflight, loading, parts, positive := 0, 0, 0, 0.0, make([]int, len(l.positiveDeficits))
-	for _, w := range l.workers {
-		if is := w.host.State == Ready; is != w.ready || is != slices.Contains(l.ready, w) {
-			f.t.Fatalf("%s: state %d, listed as ready %v", w.host.Name, w.host.State, w.ready)
-		}
-		if w.usage == l.unused {
+	list := &f.router.listing
+	idle, inflight, loading, parts, positive := 0, 0, 0, 0.0, make([]int, len(list.positiveDeficits))
+	for _, w := range list.workers {
+		if is := w.host.State == Ready; is != w.ready || is != slices.Contains(list.ready, w) {
+			f.t.Fatalf("%s: state %d, marked as ready %v, among the ready workers %v", w.host.Name, w.host.State, w.ready,
+				slices.Contains(list.ready, w))
+		}
+		if w.usage == list.unused {
 			idle += map[bool]int{true: 1}[w.ready]
 			continue
 		}
 		unfit := slices.ContainsFunc(w.health, func(h health) bool { return h.ejected || h.ejectedUntil > f.now })
-		if unfit && !slices.Contains(l.suspects, w) || !slices.Contains(l.used, w) {
-			f.t.Fatalf("%s is not among those set aside, or those used", w.host.Name)
+		if unfit && !slices.Contains(list.suspects, w) || !slices.Contains(list.used, w) {
+			f.t.Fatalf("%s is not among the workers that may be ejected, or not among those used", w.host.Name)
 		}
 		if !w.ready {
 			continue
 		}
 		inflight, loading, parts = inflight+w.inflight, loading+w.loads, parts+w.latencyRatio
-		for t, d := range w.deficit {
-			positive[t] += map[bool]int{true: 1}[d > 0]
+		for tenant, deficit := range w.deficit {
+			positive[tenant] += map[bool]int{true: 1}[deficit > 0]
 		}
 	}
-	if idle != l.unusedReady || inflight != l.inflight || loading != l.loading || math.Abs(parts-l.latencySum) > 1e-9 || !slices.Equal(positive, l.positiveDeficits) {
-		f.t.Fatalf("kept: %d unused, %d in flight, %d loading, %v, %v positive; there are %d, %d, %d, %v, %v", l.unusedReady, l.inflight, l.loading,
-			l.latencySum, l.positiveDeficits, idle, inflight, loading, parts, positive)
+	if idle != list.unusedReady || inflight != list.inflight || loading != list.loading || math.Abs(parts-list.latencySum) > 1e-9 ||
+		!slices.Equal(positive, list.positiveDeficits) {
+		f.t.Fatalf("stored: %d unused, %d in flight, %d loading, sum of parts %v, %v positive; by a scan: %d, %d, %d, %v, %v",
+			list.unusedReady, list.inflight, list.loading, list.latencySum, list.positiveDeficits, idle, inflight, loading, parts, positive)
 	}
-	if l.index.Len() != len(l.ready) || !slices.IsSortedFunc(l.ready, func(a, b *worker) int { return map[bool]int{true: 1, false: -1}[a.host.Name > b.host.Name] }) {
-		f.t.Fatalf("%d ranked, %d ready", l.index.Len(), len(l.ready))
+	if list.index.Len() != len(list.ready) || !slices.IsSortedFunc(list.ready, func(a, b *worker) int {
+		return map[bool]int{true: 1, false: -1}[a.host.Name > b.host.Name]
+	}) {
+		f.t.Fatalf("%d workers in the index and %d ready, want as many, with the ready ones sorted by name", list.index.Len(),
+			len(list.ready))
 	}
 }
 
-// many opens a router of a gateway that is told of n workers in so many zones.
-func many(t *testing.T, self, n, zones int) *fake {
+// newFakeInLargeFleet returns the router of gateway number self of 1200, with a list of n workers in the given number of
+// zones.
+func newFakeInLargeFleet(t *testing.T, self, n, zones int) *fakeGateway {
 	t.Helper()
-	s := site()
-	s.Gateways, s.Self, s.Zone = 1200, self, self%zones
-	f := open(t, s, 0)
-	f.do(List{Whole: true, Hosts: hosts(n, zones)})
+	settings := testSettings()
+	settings.Gateways, settings.Self, settings.Zone = 1200, self, self%zones
+	f := newFakeWithoutRecount(t, settings, 0)
+	f.handle(List{Whole: true, Hosts: makeHosts(n, zones)})
 	return f
 }
 
-func hosts(n, zones int) (out []Host) {
+// makeHosts returns n ready workers, spread over the zones, in cells of 40.
+func makeHosts(n, zones int) (out []Host) {
 	for i := range n {
 		out = append(out, Host{Name: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Zone: i % zones, Cell: i / 40})
 	}
 	return out
 }
 
-// home is where a call of a function goes that nobody has called before.
-func (f *fake) home(fn string) string {
+// firstHome calls a function that was not called before and returns the worker that the call is sent to.
+func (f *fakeGateway) firstHome(fn string) string {
 	id := f.call(0, 0, fn)
-	host := f.of(id)[0].host
-	f.result(f.of(id)[0], Good, BeganLoad)
+	host := f.sendsOf(id)[0].host
+	f.reportResult(f.sendsOf(id)[0], Good, BeganLoad)
 	return host
 }
 
-// Gateways that are told of thousands of workers agree on the homes of rare functions without asking, also where some miss a
-// part of the list, and a worker that goes takes no more than its own functions with it.
+// Gateways with a list of thousands of workers agree on the homes of rarely called functions without communicating, also
+// if some lack a part of the list. When a worker leaves, only the functions that had their home there get another one.
 func TestGatewaysAgreeOnHomesAmongManyWorkers(t *testing.T) {
 	const workers, functions, missing = 8000, 400, 40
-	a, b := many(t, 1, workers, 15), many(t, 700, workers, 15)
-	all := hosts(workers, 15)
-	for i := range missing { // b has not heard of some, and a not yet that others have gone
+	first, second := newFakeInLargeFleet(t, 1, workers, 15), newFakeInLargeFleet(t, 700, workers, 15)
+	all := makeHosts(workers, 15)
+	for i := range missing { // these workers have left in the second gateway's list, but not yet in the first one's
 		h := all[i*workers/missing]
 		h.State = Gone
-		b.do(List{Hosts: []Host{h}})
+		second.handle(List{Hosts: []Host{h}})
 	}
-	b.audit()
+	second.checkListing()
 	differ, used := 0, map[string]int{}
 	for i := range functions {
 		fn := fmt.Sprintf("fn%d", i)
-		x, y := a.home(fn), b.home(fn)
-		if x != y {
+		firstHome, secondHome := first.firstHome(fn), second.firstHome(fn)
+		if firstHome != secondHome {
 			differ++
 		}
-		used[x]++
-		a.now, b.now = a.now+20*time.Millisecond, b.now+20*time.Millisecond
+		used[firstHome]++
+		first.now, second.now = first.now+20*time.Millisecond, second.now+20*time.Millisecond
 	}
-	t.Logf("figures: workers=%d functions=%d missing=%d homes_differ=%d busiest=%d", workers, functions, missing, differ, slices.Max(values(used)))
+	t.Logf("figures: workers=%d functions=%d missing=%d homes_differ=%d busiest=%d", workers, functions, missing, differ,
+		slices.Max(values(used)))
 	if most := 4 * functions * missing / workers; differ > most {
-		t.Errorf("%d of %d homes differ where %d of %d workers do: %d at most", differ, functions, missing, workers, most)
+		t.Errorf("%d of %d homes differ where %d of %d workers differ, want at most %d", differ, functions, missing, workers, most)
 	}
-	a.audit()
+	first.checkListing()
 }
 
 func values(m map[string]int) (out []int) {
@@ -103,118 +111,119 @@
 	return out
 }
 
-// Restricted calls stay at their sites among many workers, and have another worker there when theirs drains.
-func TestRestrictedCallsAmongManyWorkers(t *testing.T) {
-	f := many(t, 3, 6000, 15)
+// With many workers, calls that are restricted to zones are sent only there, also when the worker of their function drains.
+func TestRestrictedCallsStayInZonesAmongManyWorkers(t *testing.T) {
+	f := newFakeInLargeFleet(t, 3, 6000, 15)
 	for i := range 60 {
-		f.next++
-		f.do(Arrival{ID: f.next, Function: fmt.Sprint("fn", i%20), TTL: 4 * sec, Lanes: 1, Zones: []int{4, 9}})
-		s := f.of(f.next)
-		if len(s) != 1 {
-			t.Fatalf("call %d was sent %d times", i, len(s))
+		f.lastID++
+		f.handle(Arrival{ID: f.lastID, Function: fmt.Sprint("fn", i%20), TTL: 4 * sec, Lanes: 1, Zones: []int{4, 9}})
+		sends := f.sendsOf(f.lastID)
+		if len(sends) != 1 {
+			t.Fatalf("call %d was sent %d times, want 1", i, len(sends))
 		}
-		w := f.r.workers[s[0].host]
-		if z := w.host.Zone; z != 4 && z != 9 {
-			t.Errorf("sent to zone %d", z)
+		w := f.router.workers[sends[0].host]
+		if zone := w.host.Zone; zone != 4 && zone != 9 {
+			t.Errorf("sent to zone %d, want 4 or 9", zone)
 		}
-		f.result(s[0], Good, BeganLoad)
+		f.reportResult(sends[0], Good, BeganLoad)
 		if i%3 == 0 {
 			h := w.host
 			h.State = Draining
-			f.do(List{Hosts: []Host{h}})
+			f.handle(List{Hosts: []Host{h}})
 		}
-		f.pass(sweepInterval)
-		f.audit()
+		f.advance(sweepInterval)
+		f.checkListing()
 	}
 }
 
-// A zone of many workers is lost, then returns with all of them cold: calls go on, none to the lost ones, and what the cold ones
-// get is bounded as for few.
+// A zone of many workers leaves the list and returns with all of them cold. Calls continue, none is sent to the workers
+// that left, and calls to the cold workers are bounded as for a single one.
 func TestZoneOfManyWorkersIsLostAndReturns(t *testing.T) {
-	f := many(t, 5, 6000, 15)
-	zone := hosts(6000, 15)
+	f := newFakeInLargeFleet(t, 5, 6000, 15)
+	zone := makeHosts(6000, 15)
 	zone = slices.DeleteFunc(zone, func(h Host) bool { return h.Zone != 2 })
-	tell := func(state HostState, since time.Duration) {
+	listZone := func(state HostState, since time.Duration) {
 		for i := range zone {
 			zone[i].State, zone[i].Since = state, since
 		}
-		f.do(List{Hosts: zone})
-		f.audit()
+		f.handle(List{Hosts: zone})
+		f.checkListing()
 	}
-	play := func(calls int) (lost int) {
+	sendCalls := func(calls int) (toZone int) {
 		for i := range calls {
 			id := f.call(0, 0, fmt.Sprint("fn", i))
-			for _, s := range f.of(id) {
-				if f.r.workers[s.host].host.Zone == 2 {
-					lost++
+			for _, s := range f.sendsOf(id) {
+				if f.router.workers[s.host].host.Zone == 2 {
+					toZone++
 				}
-				f.result(s, Good, BeganLoad)
+				f.reportResult(s, Good, BeganLoad)
 			}
-			f.pass(sweepInterval)
+			f.advance(sweepInterval)
 		}
-		return lost
+		return toZone
 	}
-	before := play(300)
-	tell(Gone, 0)
-	if n := play(300); n > 0 || before == 0 {
-		t.Errorf("%d calls went to the lost zone, %d before", n, before)
+	before := sendCalls(300)
+	listZone(Gone, 0)
+	if n := sendCalls(300); n > 0 || before == 0 {
+		t.Errorf("%d calls were sent to the zone after it left the list, want 0; %d before, want some", n, before)
 	}
-	tell(Ready, f.now)
-	cold := play(300)
+	listZone(Ready, f.now)
+	cold := sendCalls(300)
 	sent := map[string]int{}
-	for _, w := range f.r.used {
+	for _, w := range f.router.used {
 		if w.ready && w.host.Zone == 2 {
 			sent[w.host.Name] += len(w.coldSends)
 		}
 	}
 	for name, n := range sent {
 		if n > 2 {
-			t.Errorf("%s was sent %d calls while cold", name, n)
+			t.Errorf("%s was sent %d calls while cold, want at most 2", name, n)
 		}
 	}
 	t.Logf("figures: calls=300 to_zone_before=%d to_zone_cold=%d", before, cold)
 }
 
-// All workers that this gateway has used become unfit together: nobody counts as unfit, and calls go on.
-func TestManyWorkersUnfitTogether(t *testing.T) {
-	f := many(t, 5, 2000, 4)
-	for _, w := range f.r.ready {
-		f.r.ownUsage(w)
-		f.r.eject(w, 0)
-	}
-	f.pass(sweepInterval)
-	f.audit()
-	if id := f.call(0, 0, "fn"); len(f.of(id)) != 1 {
-		t.Error("the call was not sent")
+// When all workers that this gateway has used become unfit together, none is ejected, and calls continue.
+func TestCallsGoOnWhenAllUsedWorkersAreUnfit(t *testing.T) {
+	f := newFakeInLargeFleet(t, 5, 2000, 4)
+	for _, w := range f.router.ready {
+		f.router.ownUsage(w)
+		f.router.eject(w, 0)
+	}
+	f.advance(sweepInterval)
+	f.checkListing()
+	if id := f.call(0, 0, "fn"); len(f.sendsOf(id)) != 1 {
+		t.Errorf("the call was sent %d times, want 1", len(f.sendsOf(id)))
 	}
 }
 
-// A hot function among many workers: a gateway uses a part of its many homes, of its own zone first, and the gateways of a
-// fleet do not all use the same ones.
+// Of the many homes that a hot function has among many workers, a gateway uses a part, those in its own zone first. The
+// gateways of a fleet do not all use the same homes.
 func TestHotFunctionAmongManyWorkers(t *testing.T) {
 	const zones = 15
 	used := map[string]int{}
-	for _, self := range []int{0, 15, 30, 45, 60, 75} { // all of zone 0
-		f := many(t, self, 6000, zones)
-		f.r.settings.Orders = false // else a home is used once its copy stands
-		at, near := map[string]bool{}, 0
-		done := 0
+	for _, self := range []int{0, 15, 30, 45, 60, 75} { // all of these gateways are in zone 0
+		f := newFakeInLargeFleet(t, self, 6000, zones)
+		f.router.settings.Orders = false // else a home is used only once its copy is loaded
+		homes, inZone := map[string]bool{}, 0
+		done := 0 // sends answered so far
 		for range 1500 {
 			f.call(0, 0, "hot")
-			f.pass(sweepInterval)
+			f.advance(sweepInterval)
 			for ; done < len(f.sent) && f.sent[done].at <= f.now-300*time.Millisecond; done++ {
-				if f.result(f.sent[done], Good, FoundWarm); done > 800 { // once it has its homes
-					at[f.sent[done].host] = true
-					near += map[bool]int{true: 1}[f.r.workers[f.sent[done].host].host.Zone == 0]
+				if f.reportResult(f.sent[done], Good, FoundWarm); done > 800 { // by then the function has its homes
+					homes[f.sent[done].host] = true
+					inZone += map[bool]int{true: 1}[f.router.workers[f.sent[done].host].host.Zone == 0]
 				}
 			}
 		}
-		f.audit()
-		if len(at) > 64 || len(at) < 8 || near < 550 {
-			t.Errorf("gateway %d uses %d workers; %d of the last 600 calls stayed in its zone", self, len(at), near)
+		f.checkListing()
+		if len(homes) > 64 || len(homes) < 8 || inZone < 550 {
+			t.Errorf("gateway %d uses %d workers, want 8 to 64; %d of the last 600 calls stayed in its zone, want at least 550", self,
+				len(homes), inZone)
 		}
-		for h := range at {
-			used[h]++
+		for name := range homes {
+			used[name]++
 		}
 	}
 	shared := 0
--- a/decide/random_test.go
+++ b/decide/random_test.go
@@ -9,109 +9,113 @@
 	"time"
 )
 
-// storm drives a router with random legal and odd events for some seconds and checks rules 1, 2, 3 and 5 from
-// outside. It returns what the router did, line by line.
-func storm(t *testing.T, seed uint64) string {
+// runRandomEvents sends a router random events, valid and invalid ones, for some seconds of simulated time. It checks from the
+// router's actions that no worker gets a call after its drain and grace, that each request gets one final answer and no send
+// after it, that calls are repeated only as their class allows, and that orders stay within their ration. It returns the
+// actions of the router, one a line.
+func runRandomEvents(t *testing.T, seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	s := site()
-	s.Parallel, s.LoadsOnMiss = rng.IntN(2) == 0, rng.IntN(3) > 0
-	f := open(t, s, 6)
-	type flight struct {
-		sent
-		mayRun, done bool
+	settings := testSettings()
+	settings.Parallel, settings.LoadsOnMiss = rng.IntN(2) == 0, rng.IntN(3) > 0
+	f := newFakeWithoutRecount(t, settings, 6)
+	type trackedSend struct {
+		sendRecord
+		mayRun, done bool // it may have run, by its outcome; it has ended
 	}
-	type job struct {
+	type call struct {
 		class    int
 		deadline time.Duration
 	}
-	jobs, flights, seen, scanned := map[uint64]job{}, []*flight{}, 0, 0
-	told, arrivals, orders := map[string]time.Duration{}, []time.Duration{}, []time.Duration{}
+	calls, tracked, checkedSends, checkedActions := map[uint64]call{}, []*trackedSend{}, 0, 0
+	drainSince, arrivals, orders := map[string]time.Duration{}, []time.Duration{}, []time.Duration{}
 	check := func() {
-		for ; seen < len(f.sent); seen++ {
-			n := f.sent[seen]
-			if at, drains := told[n.host]; drains && n.at > at+s.DrainGrace {
-				t.Errorf("seed %d: sent to %s %v after its drain", seed, n.host, n.at-at)
+		for ; checkedSends < len(f.sent); checkedSends++ {
+			send := f.sent[checkedSends]
+			if at, drains := drainSince[send.host]; drains && send.at > at+settings.DrainGrace {
+				t.Errorf("seed %d: sent to %s %v after it was listed as draining", seed, send.host, send.at-at)
 			}
-			if how, over := f.ended[n.id]; over {
-				t.Errorf("seed %d: sent %d after %s", seed, n.id, how)
+			if how, ended := f.ended[send.id]; ended {
+				t.Errorf("seed %d: request %d was sent after its final answer (%s)", seed, send.id, how)
 			}
-			for _, o := range flights {
-				c := s.Classes[jobs[n.id].class]
+			for _, earlier := range tracked {
+				class := settings.Classes[calls[send.id].class]
 				switch {
-				case o.id != n.id || !o.mayRun:
-				case !s.Parallel && !o.done:
-					t.Errorf("seed %d: attempts of %d overlap", seed, n.id)
-				case c.Effect == Unsafe, c.Effect == Keyed && n.at-o.at > c.Window,
-					c.Effect == Keyed && c.KeyScope == SameZone && (o.host[1]-n.host[1])%2 != 0:
-					t.Errorf("seed %d: class %d repeated at %s, %v after %s", seed, jobs[n.id].class, n.host, n.at-o.at, o.host)
+				case earlier.id != send.id || !earlier.mayRun:
+				case !settings.Parallel && !earlier.done:
+					t.Errorf("seed %d: attempts of request %d overlap", seed, send.id)
+				case class.Effect == Unsafe, class.Effect == Keyed && send.at-earlier.at > class.Window,
+					class.Effect == Keyed && class.KeyScope == SameZone && (earlier.host[1]-send.host[1])%2 != 0:
+					t.Errorf("seed %d: call of class %d that may have run at %s was sent again to %s %v later", seed,
+						calls[send.id].class, earlier.host, send.host, send.at-earlier.at)
 				}
 			}
-			flights = append(flights, &flight{sent: n, mayRun: true})
+			tracked = append(tracked, &trackedSend{sendRecord: send, mayRun: true})
 		}
-		for ; scanned < len(f.acts); scanned++ {
-			if strings.Contains(f.acts[scanned], " order ") {
-				within := func(x time.Duration) bool { return x > f.now-s.OrderWindow }
+		for ; checkedActions < len(f.actions); checkedActions++ {
+			if strings.Contains(f.actions[checkedActions], " order ") {
+				within := func(at time.Duration) bool { return at > f.now-settings.OrderWindow }
 				orders = append(orders, f.now)
-				in := func(l []time.Duration) (n int) {
-					for _, x := range l {
-						if within(x) {
+				inWindow := func(times []time.Duration) (n int) {
+					for _, at := range times {
+						if within(at) {
 							n++
 						}
 					}
 					return n
 				}
-				if float64(in(orders)) > s.FreeOrders+s.OrderShare*float64(in(arrivals)) {
-					t.Errorf("seed %d: the ration was passed", seed)
+				if float64(inWindow(orders)) > settings.FreeOrders+settings.OrderShare*float64(inWindow(arrivals)) {
+					t.Errorf("seed %d: more orders than the ration allows", seed)
 				}
 			}
 		}
 	}
-	tick := func() { // attempts still out end at their deadlines
-		f.pass(sweepInterval)
-		for _, fl := range flights {
-			if _, over := f.ended[fl.id]; !fl.done && f.now >= jobs[fl.id].deadline {
-				fl.done = true
-				f.do(Result{ID: fl.id, Attempt: fl.shot, Host: fl.host, Outcome: TimedOut, Took: f.now - fl.at, Final: over})
+	tick := func() { // also reports a time-out for attempts in flight at their deadlines
+		f.advance(sweepInterval)
+		for _, send := range tracked {
+			if _, ended := f.ended[send.id]; !send.done && f.now >= calls[send.id].deadline {
+				send.done = true
+				f.handle(Result{ID: send.id, Attempt: send.attemptIndex, Host: send.host, Outcome: TimedOut, Took: f.now - send.at,
+					Final: ended})
 			}
 		}
 	}
 	for step := 0; step < 1500; step++ {
-		switch k := rng.IntN(20); {
-		case k < 7:
+		switch event := rng.IntN(20); {
+		case event < 7:
 			arrivals = append(arrivals, f.now)
-			class := rng.IntN(len(s.Classes))
-			jobs[f.next+1] = job{class, f.now + 4*sec}
+			class := rng.IntN(len(settings.Classes))
+			calls[f.lastID+1] = call{class, f.now + 4*sec}
 			f.call(class, rng.IntN(3), fmt.Sprint("fn", rng.IntN(12)))
-		case k < 13:
-			var out []*flight
-			for _, fl := range flights {
-				if !fl.done {
-					out = append(out, fl)
+		case event < 13:
+			var inFlight []*trackedSend
+			for _, send := range tracked {
+				if !send.done {
+					inFlight = append(inFlight, send)
 				}
 			}
-			if len(out) == 0 {
+			if len(inFlight) == 0 {
 				break
 			}
-			fl := out[rng.IntN(len(out))]
-			o := []Outcome{Good, Good, Good, Good, Bad, Full, TimedOut, NoConn, Reset, Cancelled, NotSent, Miss}[rng.IntN(12)]
-			fl.done, fl.mayRun = true, !slices.Contains([]Outcome{Full, NoConn, NotSent, Miss}, o)
-			_, over := f.ended[fl.id]
-			if o == Good && !over {
-				f.final(fl.id, "served")
+			send := inFlight[rng.IntN(len(inFlight))]
+			outcome := []Outcome{Good, Good, Good, Good, Bad, Full, TimedOut, NoConn, Reset, Cancelled, NotSent, Miss}[rng.IntN(12)]
+			send.done, send.mayRun = true, !slices.Contains([]Outcome{Full, NoConn, NotSent, Miss}, outcome)
+			_, ended := f.ended[send.id]
+			if outcome == Good && !ended {
+				f.recordAnswer(send.id, "served")
 			}
-			f.do(Result{ID: fl.id, Attempt: fl.shot, Host: fl.host, Outcome: o, Took: f.now - fl.at,
-				Final: over || o == Good, Note: Note(rng.IntN(5)), Contention: -1})
-		case k == 13:
+			f.handle(Result{ID: send.id, Attempt: send.attemptIndex, Host: send.host, Outcome: outcome, Took: f.now - send.at,
+				Final: ended || outcome == Good, Note: Note(rng.IntN(5)), Contention: -1})
+		case event == 13:
 			n := rng.IntN(6)
-			h := Host{Name: fmt.Sprint("w", n), Zone: n % 2, State: HostState(rng.IntN(3))}
-			if delete(told, h.Name); h.State != Ready {
-				told[h.Name] = f.now
+			host := Host{Name: fmt.Sprint("w", n), Zone: n % 2, State: HostState(rng.IntN(3))}
+			if delete(drainSince, host.Name); host.State != Ready {
+				drainSince[host.Name] = f.now
 			}
-			f.do(List{Hosts: []Host{h, h}})
-		case k == 14:
-			f.do(Loaded{Host: fmt.Sprint("w", rng.IntN(9)), Function: fmt.Sprint("fn", rng.IntN(15)), Copies: rng.IntN(3)})
-		case k == 15:
-			f.do([]Event{Result{ID: 1 << 40}, ClientGone{ID: 1 << 40}, Wake{Token: "?"}, List{Failed: true},
+			f.handle(List{Hosts: []Host{host, host}})
+		case event == 14:
+			f.handle(Loaded{Host: fmt.Sprint("w", rng.IntN(9)), Function: fmt.Sprint("fn", rng.IntN(15)), Copies: rng.IntN(3)})
+		case event == 15:
+			f.handle([]Event{Result{ID: 1 << 40}, ClientGone{ID: 1 << 40}, Wake{Token: "?"}, List{Failed: true},
 				PeerMessage{From: -1}, FirstByte{ID: 1 << 40}}[rng.IntN(6)])
 		default:
 			for range 1 + rng.IntN(5) {
@@ -119,44 +123,45 @@
 			}
 		}
 		check()
-		f.audit()
+		f.checkListing()
 	}
 	for end := f.now + 6*sec; f.now < end; check() {
 		tick()
 	}
-	for id := range jobs {
+	for id := range calls {
 		if _, ok := f.ended[id]; !ok {
-			t.Errorf("seed %d: request %d has no answer", seed, id)
+			t.Errorf("seed %d: request %d has no final answer", seed, id)
 		}
 	}
-	for _, w := range f.r.workers {
+	for _, w := range f.router.workers {
 		if w.inflight != 0 || w.warmInflight != 0 || w.loads != 0 {
-			t.Errorf("seed %d: %s counts %d %d %d with nothing out", seed, w.host.Name, w.inflight, w.warmInflight, w.loads)
+			t.Errorf("seed %d: %s has %d calls in trackedSend, %d busy and %d loads after all attempts ended, want 0", seed, w.host.Name,
+				w.inflight, w.warmInflight, w.loads)
 		}
 	}
-	return strings.Join(f.acts, "\n")
+	return strings.Join(f.actions, "\n")
 }
 
-func TestRandomEventsKeepTheRulesAndReplay(t *testing.T) {
+func TestRandomEventsKeepRulesAndAreReproducible(t *testing.T) {
 	for seed := uint64(1); seed <= 30; seed++ {
-		first, again := storm(t, seed), storm(t, seed)
+		first, again := runRandomEvents(t, seed), runRandomEvents(t, seed)
 		if first != again {
-			t.Errorf("seed %d: the same events gave other actions", seed)
+			t.Errorf("seed %d: the same events led to different actions", seed)
 		}
 	}
 }
 
-// The choice path must stay cheap: gateways have a few tens of milliseconds of CPU a second.
+// The choice of a worker must stay cheap: gateways have a few tens of milliseconds of CPU time a second.
 func TestChoiceAllocatesNothing(t *testing.T) {
-	f := start(t, site(), 16)
-	f.warm(0, "fn")
-	q := &request{fn: f.r.funcs["fn"], deadline: f.now + sec}
-	if n := testing.AllocsPerRun(100, func() { f.r.choose(q) }); n > 0 {
+	f := newFake(t, testSettings(), 16)
+	f.warmUp(0, "fn")
+	req := &request{fn: f.router.funcs["fn"], deadline: f.now + sec}
+	if n := testing.AllocsPerRun(100, func() { f.router.choose(req) }); n > 0 {
 		t.Errorf("a warm choice allocates %v times", n)
 	}
-	q = &request{fn: &function{name: "new", hash: 5, lanes: 1}, deadline: f.now + sec}
-	f.r.choose(q)
-	if n := testing.AllocsPerRun(100, func() { f.r.choose(q) }); n > 0 {
+	req = &request{fn: &function{name: "new", hash: 5, lanes: 1}, deadline: f.now + sec}
+	f.router.choose(req)
+	if n := testing.AllocsPerRun(100, func() { f.router.choose(req) }); n > 0 {
 		t.Errorf("a cold choice allocates %v times", n)
 	}
 }
--- a/decide/scale_bench_test.go
+++ b/decide/scale_bench_test.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// silent is a gateway that keeps nothing.
-type silent struct{ *fake }
+// discardingGateway is a gateway that records nothing.
+type discardingGateway struct{ *fakeGateway }
 
-func (s silent) Route(uint64, string, time.Duration)  {}
-func (s silent) Refuse(uint64, time.Duration, Reason) {}
-func (s silent) Fail(uint64, Reason)                  {}
-func (s silent) Order(string, string, int)            {}
-func (s silent) Log(Notice)                           {}
+func (s discardingGateway) Route(uint64, string, time.Duration)  {}
+func (s discardingGateway) Refuse(uint64, time.Duration, Reason) {}
+func (s discardingGateway) Fail(uint64, Reason)                  {}
+func (s discardingGateway) Order(string, string, int)            {}
+func (s discardingGateway) Log(Notice)                           {}
 
-// scaled is a router of a gateway of the target's fleet that is told of so many workers.
-func scaled(b *testing.B, workers int) *Router {
-	s := site()
-	s.Classes, s.Gateways = s.Classes[:1], 1200
-	r, err := New(s, 1, silent{&fake{}})
+// newScaledRouter returns the router of one of 1200 gateways, the target size of a fleet, with a list of so many workers.
+func newScaledRouter(b *testing.B, workers int) *Router {
+	settings := testSettings()
+	settings.Classes, settings.Gateways = settings.Classes[:1], 1200
+	r, err := New(settings, 1, discardingGateway{&fakeGateway{}})
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.Handle(time.Hour, List{Whole: true, Hosts: hosts(workers, 15)})
+	r.Handle(time.Hour, List{Whole: true, Hosts: makeHosts(workers, 15)})
 	return r
 }
 
-// BenchmarkScale is what a router costs that is told of many workers, by size: a turn of its timer, also while the list is silent, the first call of a
-// function and the next, a call after a change of the list, one change of it, and the memory of both.
+// BenchmarkScale measures the cost of a router by the number of listed workers: a sweep of its timer (timer), also while the
+// list is silent (silent), the first call of a function (first) and a later one (next), a call after a change of the list
+// (after), a change itself (change), and the memory of the list and of functions (memory).
 func BenchmarkScale(b *testing.B) {
 	for _, workers := range []int{120, 10_000, 81_000} {
 		name := func(what string) string { return fmt.Sprintf("%s/workers=%d", what, workers) }
-		all, id := hosts(workers, 15), uint64(0)
+		all, id := makeHosts(workers, 15), uint64(0)
 		call := func(r *Router, fn string) {
 			id++
 			r.Handle(r.now, Arrival{ID: id, Function: fn, TTL: 4 * time.Second, Lanes: 1})
 		}
-		end := func(r *Router) { // the call is answered
+		answer := func(r *Router) {
 			r.Handle(r.now+40*time.Millisecond, Result{ID: id, Outcome: Good, Took: 40 * time.Millisecond, Final: true, Note: FoundWarm})
 		}
 		change := func(r *Router, i int) {
@@ -47,13 +48,13 @@
 			r.Handle(r.now, List{Hosts: []Host{h}})
 		}
 		b.Run(name("timer"), func(b *testing.B) {
-			r := scaled(b, workers)
+			r := newScaledRouter(b, workers)
 			for b.Loop() {
 				r.Handle(r.now+sweepInterval, Wake{Token: "sweep"})
 			}
 		})
-		b.Run(name("silent"), func(b *testing.B) { // the same while the list is silent, with a tenth of the workers in use
-			r := scaled(b, workers)
+		b.Run(name("silent"), func(b *testing.B) { // with a tenth of the workers in use
+			r := newScaledRouter(b, workers)
 			r.settings.MaxListDelay = 7 * time.Second
 			for _, w := range r.ready[:workers/10] {
 				r.ownUsage(w)
@@ -63,37 +64,37 @@
 			}
 		})
 		b.Run(name("first"), func(b *testing.B) {
-			r, i := scaled(b, workers), 0
-			call(r, "before") // the first of all tops the counters up
-			end(r)
+			r, i := newScaledRouter(b, workers), 0
+			call(r, "before") // the first call of all tops up the deficit counters
+			answer(r)
 			for b.Loop() {
 				i++
 				call(r, fmt.Sprint("fn", i))
-				end(r)
+				answer(r)
 			}
 		})
 		b.Run(name("next"), func(b *testing.B) {
-			r := scaled(b, workers)
+			r := newScaledRouter(b, workers)
 			call(r, "fn")
-			end(r)
+			answer(r)
 			for b.Loop() {
 				call(r, "fn")
-				end(r)
+				answer(r)
 			}
 		})
 		b.Run(name("after"), func(b *testing.B) {
-			r, i := scaled(b, workers), 0
+			r, i := newScaledRouter(b, workers), 0
 			for b.Loop() {
 				b.StopTimer()
 				change(r, i)
 				i++
 				b.StartTimer()
 				call(r, "fn")
-				end(r)
+				answer(r)
 			}
 		})
 		b.Run(name("change"), func(b *testing.B) {
-			r, i := scaled(b, workers), 0
+			r, i := newScaledRouter(b, workers), 0
 			for b.Loop() {
 				change(r, i)
 				i++
@@ -103,23 +104,24 @@
 			const functions = 200
 			for b.Loop() {
 				before := heapInUse()
-				r := scaled(b, workers)
-				list := heapInUse()
+				r := newScaledRouter(b, workers)
+				withList := heapInUse()
 				for i := range functions {
 					call(r, fmt.Sprint("fn", i))
-					end(r)
+					answer(r)
 				}
-				b.ReportMetric(float64(list-before)/(1<<20), "list-MB")
-				b.ReportMetric(float64(heapInUse()-list)/functions/1024, "function-KB")
+				b.ReportMetric(float64(withList-before)/(1<<20), "list-MB")
+				b.ReportMetric(float64(heapInUse()-withList)/functions/1024, "function-KB")
 				runtime.KeepAlive(r)
 			}
 		})
 	}
 }
 
+// heapInUse returns the bytes of the heap that are in use after a garbage collection.
 func heapInUse() uint64 {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -102,7 +102,7 @@
 	for i, m := range members {
 		hosts[i] = m.Host
 	}
-	c.applyChange(c.roster.List(complete, hosts))
+	c.applyChange(c.roster.ApplyList(complete, hosts))
 }
 
 // applyChange passes changed workers to the module. Only then does it withdraw what has not been written yet to workers that may
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -87,7 +87,7 @@
 
 // Adopt applies a ban that was set at the gateway's other process.
 func (c *Core) Adopt(ban roster.Ban) {
-	c.applyChange(c.roster.Adopt(ban))
+	c.applyChange(c.roster.AdoptBan(ban))
 }
 
 // AssumeRate has the module judge cold workers by a rate that was served before, in calls per second, and have at most this many
@@ -98,14 +98,14 @@
 
 // SetDraining replaces the set of workers that get nothing new because another gateway knows that they drain.
 func (c *Core) SetDraining(ids map[string]bool) {
-	c.applyChange(c.roster.Hold(ids))
+	c.applyChange(c.roster.SetDrainingElsewhere(ids))
 }
 
 // Avoids reports whether the module avoids a worker although it is listed as ready.
 func (c *Core) Avoids(id string) bool { return c.router.Avoids(id) }
 
 // ListedStart returns a worker's start time as listed: 0 if it started long ago or is not on the list.
-func (c *Core) ListedStart(id string) time.Duration { return c.roster.Since(id) }
+func (c *Core) ListedStart(id string) time.Duration { return c.roster.ListedStart(id) }
 
 // Listed reports whether a worker is on the list.
 func (c *Core) Listed(id string) bool { return c.roster.Listed(id) }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -136,7 +136,7 @@
 	}
 	for id, at := range c.agreed.Started {
 		if since, known := listed[id]; known && at > since+time.Second {
-			b.Roster.Cold = append(b.Roster.Cold, roster.Cold{ID: id, Listed: since, Since: at})
+			b.Roster.Cold = append(b.Roster.Cold, roster.ColdWorker{ID: id, Listed: since, Since: at})
 		}
 	}
 	for fn, at := range c.agreed.Stands {
--- a/internal/lifecycle/handover/handover_test.go
+++ b/internal/lifecycle/handover/handover_test.go
@@ -21,7 +21,7 @@
 	s := State{Version: version, Who: me}
 	for i := range n {
 		s.Roster.Bans = append(s.Roster.Bans, roster.Ban{ID: fmt.Sprint("s-", i), Since: 5})
-		s.Roster.Cold = append(s.Roster.Cold, roster.Cold{ID: fmt.Sprint("s-", i), Listed: 1, Since: 7})
+		s.Roster.Cold = append(s.Roster.Cold, roster.ColdWorker{ID: fmt.Sprint("s-", i), Listed: 1, Since: 7})
 	}
 	return s
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster is the one owner of which workers may be used: what the bulletin and the brokers list, and the
-// bans that operators lay on workers by hand. It does no I/O; what it returns is for the module, which knows a worker
-// under a ban as one that drains.
+// Package roster decides which workers may be used, from the lists of the bulletin and the MQTT brokers and from the
+// bans that operators put on workers. It does no I/O: its methods return list events for the router (package decide),
+// to which a banned worker is reported as draining.
 package roster
 
 import (
@@ -13,10 +13,11 @@
 	"quillrail/decide"
 )
 
-// maxBans bounds the bans. Only workers that are listed can be banned, but a ban outlives the listing.
+// maxBans bounds the number of bans. Operators can ban listed workers only, but a ban remains when its worker leaves
+// the list.
 const maxBans = 4096
 
-// The reasons why a call is not carried out.
+// The errors of Disable and Enable.
 var (
 	ErrUnknown = errors.New("no such worker")
 	ErrFull    = errors.New("too many workers are left out by hand")
@@ -25,25 +26,26 @@
 // Roster holds the listed workers and the bans.
 type Roster struct {
 	listed map[string]decide.Host
-	bans   map[string]time.Duration // by the worker's start as it was listed when the ban was laid, and
-	held   map[string]bool          // draining by a newer list than ours, as another gateway says
-	cold   map[string]assumed       // what is thought of those that came back without a word of their start
+	bans   map[string]time.Duration // by worker; the value is its listed start time when it was banned
+
+	drainingElsewhere map[string]bool         // workers that another gateway reports as draining, by a newer list
+	assumedStarts     map[string]assumedStart // of workers enabled after a ban for which no later start was listed
 }
 
-// assumed is the start that a worker is given which came back from a ban: operators restart workers meanwhile, and
-// the list tells it late.
-type assumed struct {
-	listed time.Duration // holds for as long as the list says this,
-	since  time.Duration // and means this
+// assumedStart is the start time that a worker counts as having when its ban ends. Operators restart workers during a
+// ban, and the list reports the new start late.
+type assumedStart struct {
+	listedStart time.Duration // the assumption holds while the list reports this start
+	start       time.Duration // the assumed start
 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{listed: map[string]decide.Host{}, bans: map[string]time.Duration{}, cold: map[string]assumed{}}
+	return &Roster{listed: map[string]decide.Host{}, bans: map[string]time.Duration{}, assumedStarts: map[string]assumedStart{}}
 }
 
-// List takes a list of workers, or changes of it, and returns what the module is to be told.
-func (r *Roster) List(whole bool, hosts []decide.Host) decide.List {
+// ApplyList stores a list of workers (whole) or changes of it, and returns the event for the router.
+func (r *Roster) ApplyList(whole bool, hosts []decide.Host) decide.List {
 	if whole {
 		clear(r.listed)
 	}
@@ -56,25 +58,25 @@
 		}
 		ev.Hosts = append(ev.Hosts, r.effective(h))
 	}
-	maps.DeleteFunc(r.cold, func(name string, a assumed) bool {
+	maps.DeleteFunc(r.assumedStarts, func(name string, a assumedStart) bool {
 		h, ok := r.listed[name]
-		return !ok || h.Since != a.listed
+		return !ok || h.Since != a.listedStart
 	})
 	return ev
 }
 
-// effective is a worker as the module is to see it.
+// effective returns a worker's entry as the router should see it: with bans and the assumed start applied.
 func (r *Roster) effective(h decide.Host) decide.Host {
-	if a, ok := r.cold[h.Name]; ok && a.listed == h.Since {
-		h.Since = max(h.Since, a.since)
+	if a, ok := r.assumedStarts[h.Name]; ok && a.listedStart == h.Since {
+		h.Since = max(h.Since, a.start)
 	}
-	if _, banned := r.bans[h.Name]; (banned || r.held[h.Name]) && h.State == decide.Ready {
+	if _, banned := r.bans[h.Name]; (banned || r.drainingElsewhere[h.Name]) && h.State == decide.Ready {
 		h.State = decide.Draining
 	}
 	return h
 }
 
-// Disable leaves a worker out until Enable, whatever the list says.
+// Disable bans a worker until Enable is called, whatever the list reports. Disabling a banned worker changes nothing.
 func (r *Roster) Disable(id string) (decide.List, error) {
 	if _, banned := r.bans[id]; banned {
 		return decide.List{}, nil
@@ -87,10 +89,11 @@
 		return decide.List{}, ErrFull
 	}
 	r.bans[id] = h.Since
-	return r.change(id), nil
+	return r.update(id), nil
 }
 
-// Enable uses a worker again. One that the list does not show to have been started meanwhile counts as started now.
+// Enable lifts the ban on a worker. If the list has not reported a later start since the ban, the worker counts as
+// started now.
 func (r *Roster) Enable(now time.Duration, id string) (decide.List, error) {
 	at, banned := r.bans[id]
 	h, listed := r.listed[id]
@@ -102,15 +105,15 @@
 	}
 	delete(r.bans, id)
 	if listed && h.Since <= at {
-		r.cold[id] = assumed{h.Since, now}
+		r.assumedStarts[id] = assumedStart{h.Since, now}
 	}
-	return r.change(id), nil
+	return r.update(id), nil
 }
 
-// Hold leaves workers alone that another gateway knows to drain, in place of those that were held before.
-func (r *Roster) Hold(ids map[string]bool) decide.List {
-	before := r.held
-	r.held = ids
+// SetDrainingElsewhere replaces the workers that another gateway reports as draining, and returns the changed entries.
+func (r *Roster) SetDrainingElsewhere(ids map[string]bool) decide.List {
+	before := r.drainingElsewhere
+	r.drainingElsewhere = ids
 	var ev decide.List
 	for _, id := range r.Names() {
 		if before[id] != ids[id] {
@@ -120,8 +123,8 @@
 	return ev
 }
 
-// change is the news of one worker; none while it is not listed.
-func (r *Roster) change(id string) decide.List {
+// update returns an event with the worker's effective entry, or an empty event if the worker is not listed.
+func (r *Roster) update(id string) decide.List {
 	h, ok := r.listed[id]
 	if !ok {
 		return decide.List{}
@@ -129,73 +132,75 @@
 	return decide.List{Hosts: []decide.Host{r.effective(h)}}
 }
 
-// Size is the number of workers in the list.
+// Size returns the number of listed workers.
 func (r *Roster) Size() int { return len(r.listed) }
 
-// Banned reports whether a worker is left out by hand.
+// Banned reports whether an operator has banned a worker.
 func (r *Roster) Banned(id string) bool {
 	_, banned := r.bans[id]
 	return banned
 }
 
-// Ban is the ban on a worker, if there is one.
+// Ban returns the ban on a worker, if there is one.
 func (r *Roster) Ban(id string) (Ban, bool) {
 	since, banned := r.bans[id]
 	return Ban{id, since}, banned
 }
 
-// Since is a worker's start as it is listed.
-func (r *Roster) Since(id string) time.Duration { return r.listed[id].Since }
+// ListedStart returns a worker's start time as listed, 0 if the worker is not listed.
+func (r *Roster) ListedStart(id string) time.Duration { return r.listed[id].Since }
 
 // Listed reports whether a worker is in the list.
 func (r *Roster) Listed(id string) bool { _, ok := r.listed[id]; return ok }
 
-// Usable reports whether a worker may get something new: it is listed as ready and left out by nobody.
+// Usable reports whether a worker may get new work: it is listed as ready, is not banned, and is not reported as
+// draining by another gateway.
 func (r *Roster) Usable(id string) bool {
 	h, listed := r.listed[id]
 	return listed && r.effective(h).State == decide.Ready
 }
 
-// Names are the listed workers, in order.
+// Names returns the names of the listed workers, sorted.
 func (r *Roster) Names() []string { return slices.Sorted(maps.Keys(r.listed)) }
 
-// Bans are the workers left out by hand, in order, listed or not.
+// Bans returns the names of the banned workers, sorted, listed or not.
 func (r *Roster) Bans() []string { return slices.Sorted(maps.Keys(r.bans)) }
 
-// Ban is a worker left out by hand, and its start as it was listed then.
+// Ban is a banned worker and its listed start time when it was banned.
 type Ban struct {
 	ID    string        `json:"id"`
 	Since time.Duration `json:"since_ns"`
 }
 
-// Check reports whether the ban can be one.
+// Check returns an error if the ban has no worker id, one that is too long, or a negative start time.
 func (b Ban) Check() error {
-	if b.ID == "" || len(b.ID) > maxID || b.Since < 0 {
-		return fmt.Errorf("ban of %q, started at %d", b.ID[:min(len(b.ID), maxID)], b.Since)
+	if b.ID == "" || len(b.ID) > maxIDBytes || b.Since < 0 {
+		return fmt.Errorf("ban: want an id of 1 to %d bytes and a start from 0, got %q and %d",
+			maxIDBytes, b.ID[:min(len(b.ID), maxIDBytes)], b.Since)
 	}
 	return nil
 }
 
-// maxID bounds a worker's id, as operators can say it.
-const maxID = 256
+// maxIDBytes bounds the length of a worker's id, as in operators' commands.
+const maxIDBytes = 256
 
-// Saved is what a roster hands on to the gateway's next process.
+// Saved is the state of a roster that is handed over to the gateway's next process.
 type Saved struct {
-	Bans []Ban  `json:"bans"`
-	Cold []Cold `json:"cold"`
+	Bans []Ban        `json:"bans"`
+	Cold []ColdWorker `json:"cold"`
 }
 
-// Cold is a worker that came back from a ban and counts as started at Since for as long as the list says Listed.
-type Cold struct {
+// ColdWorker is a worker enabled after a ban. It counts as started at Since while the list reports the start Listed.
+type ColdWorker struct {
 	ID     string        `json:"id"`
 	Listed time.Duration `json:"listed_ns"`
 	Since  time.Duration `json:"since_ns"`
 }
 
-// Check reports whether what was saved can be used.
+// Check returns an error if the saved state is invalid.
 func (s *Saved) Check() error {
 	if len(s.Bans) > maxBans || len(s.Cold) > maxBans {
-		return fmt.Errorf("%d bans, %d cold workers", len(s.Bans), len(s.Cold))
+		return fmt.Errorf("want at most %d bans and as many cold workers, got %d and %d", maxBans, len(s.Bans), len(s.Cold))
 	}
 	for _, b := range s.Bans {
 		if err := b.Check(); err != nil {
@@ -210,14 +215,14 @@
 	return nil
 }
 
-// Save returns what the gateway's next process has to know.
+// Save returns the state that the gateway's next process needs.
 func (r *Roster) Save() Saved {
 	var s Saved
 	for _, id := range r.Bans() {
 		s.Bans = append(s.Bans, Ban{id, r.bans[id]})
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.cold)) {
-		s.Cold = append(s.Cold, Cold{id, r.cold[id].listed, r.cold[id].since})
+	for _, id := range slices.Sorted(maps.Keys(r.assumedStarts)) {
+		s.Cold = append(s.Cold, ColdWorker{id, r.assumedStarts[id].listedStart, r.assumedStarts[id].start})
 	}
 	if len(s.Cold) > maxBans {
 		s.Cold = s.Cold[:maxBans]
@@ -225,21 +230,21 @@
 	return s
 }
 
-// Restore takes what a former process has handed on, before the first list.
+// Restore applies the state that a previous process handed over. It has to be called before the first list arrives.
 func (r *Roster) Restore(s Saved) {
 	for _, b := range s.Bans {
 		r.bans[b.ID] = b.Since
 	}
 	for _, c := range s.Cold {
-		r.cold[c.ID] = assumed{c.Listed, c.Since}
+		r.assumedStarts[c.ID] = assumedStart{c.Listed, c.Since}
 	}
 }
 
-// Adopt lays a ban that was laid at the gateway's other process, whether or not the worker is listed here yet.
-func (r *Roster) Adopt(b Ban) decide.List {
+// AdoptBan applies a ban that was made at another process, whether or not the worker is listed here yet.
+func (r *Roster) AdoptBan(b Ban) decide.List {
 	if _, banned := r.bans[b.ID]; banned || len(r.bans) >= maxBans {
 		return decide.List{}
 	}
 	r.bans[b.ID] = b.Since
-	return r.change(b.ID)
+	return r.update(b.ID)
 }
