--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -55,7 +55,7 @@
 						return fmt.Errorf("settings: not understood: %s", strings.Join(unknown, "; "))
 					}
 					_, err = fmt.Fprintf(c.Root().Writer, "%s: listens on %s, %d classes, %d tenants, event %d\n", conf.Name,
-						conf.Listen, len(conf.Site.Classes), len(conf.Site.Tenants), conf.Last)
+						conf.Listen, len(conf.Site.Classes), len(conf.Site.Tenants), conf.LastEvent)
 					if fleet := conf.Fleet; err == nil && fleet.Enabled {
 						_, err = fmt.Fprintf(c.Root().Writer, "fleet %s: bound to %s, %d seeds; messages between gateways are "+
 							"neither encrypted nor signed: use loopback or private networks only\n", fleet.Fleet, fleet.Bind, len(fleet.Seeds))
--- a/internal/fleettest/version_test.go
+++ b/internal/fleettest/version_test.go
@@ -25,7 +25,7 @@
 	case "crash":
 		os.Exit(3)
 	case "sheds": // one class in part, as if its callers did not wait
-		lifecycle.Before = func(t httpfront.Core) httpfront.Core { return sheds{t} }
+		lifecycle.Middleware = func(t httpfront.Core) httpfront.Core { return sheds{t} }
 	}
 }
 
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -11,47 +11,47 @@
 	"quillrail/internal/wire/workerlink"
 )
 
-// build makes the parts behind the front.
-func (g *Gateway) build(c *Config, state handover.State) (err error) {
+// build creates the parts behind the front: the links to workers, the core, the MQTT front and the bulletin feed.
+func (g *Gateway) build(conf *Config, state handover.State) (err error) {
 	loop, net, log := g.loop, g.net, g.log
 	var observe core.Observer
 	switch {
 	case g.agreement != nil:
 		observe = func(r core.Record) { g.recovery.Observe(r); g.agreement.Observe(r) }
-	case g.fresh:
+	case g.recovers:
 		observe = g.recovery.Observe
 	}
-	if c.Extensions.Export.Enabled {
-		g.flows = ipfix.New(loop, net, c.Extensions.exportOptions(c.Site), log.Named("ipfix"))
+	if conf.Extensions.Export.Enabled {
+		g.flowExporter = ipfix.New(loop, net, conf.Extensions.exportOptions(conf.Site), log.Named("ipfix"))
 		if observe == nil {
-			observe = g.flows.Observe
+			observe = g.flowExporter.Observe
 		} else {
 			inner := observe
-			observe = func(r core.Record) { g.flows.Observe(r); inner(r) }
+			observe = func(r core.Record) { g.flowExporter.Observe(r); inner(r) }
 		}
 	}
-	if len(c.Site.Unknown) > 0 {
-		log.Warn("settings hold what is not understood", zap.Strings("places", c.Site.Unknown))
+	if len(conf.Site.Unknown) > 0 {
+		log.Warn("settings hold what is not understood", zap.Strings("places", conf.Site.Unknown))
 	}
-	g.pool = workerlink.New(loop, net, c.Site, c.Sockets-c.clients()-c.own(), log.Named("workers"))
+	g.pool = workerlink.New(loop, net, conf.Site, conf.Sockets-conf.clientSockets()-conf.reservedSockets(), log.Named("workers"))
 	var workers core.Workers = g.pool
-	tell := func(whole bool, members []core.Member) { g.core.ApplyList(whole, members) }
-	told := tell
-	if c.Extensions.Enabled && c.Extensions.Workers.Broker != "" {
-		opt, replies, list, err := c.Extensions.workerOptions(c.Name, c.Site)
+	updateCore := func(whole bool, members []core.Member) { g.core.ApplyList(whole, members) }
+	updateAll := updateCore
+	if conf.Extensions.Enabled && conf.Extensions.Workers.Broker != "" {
+		opt, replies, list, err := conf.Extensions.workerOptions(conf.Name, conf.Site)
 		if err != nil {
 			return err
 		}
-		g.link = mqtt.NewLink(loop, net, opt, replies, list, c.Seed, tell, log.Named("mqtt.workers"))
-		f := &bothKinds{Pool: g.pool, mqtt: g.link}
-		workers, told = f, f.bulletin(tell)
+		g.mqttLink = mqtt.NewLink(loop, net, opt, replies, list, conf.Seed, updateCore, log.Named("mqtt.workers"))
+		router := &workerRouter{Pool: g.pool, mqtt: g.mqttLink}
+		workers, updateAll = router, router.addMQTTMembers(updateCore)
 	}
 	if g.agreement != nil {
-		workers = &confined{workers, g}
+		workers = &restrictedWorkers{workers, g}
 	}
-	set := c.Site.Decide
-	set.MaxListDelay = bulletin.MaxPropagation
-	if g.core, err = core.New(loop, set, c.Seed, workers, observe, log.Named("core")); err != nil {
+	decideConf := conf.Site.Decide
+	decideConf.MaxListDelay = bulletin.MaxPropagation
+	if g.core, err = core.New(loop, decideConf, conf.Seed, workers, observe, log.Named("core")); err != nil {
 		return err
 	}
 	g.core.Restore(state.Roster)
@@ -64,23 +64,23 @@
 		}
 	}
 	g.pool.SetReceiver(g.core)
-	if g.link != nil {
-		g.link.Serve(g.core)
+	if g.mqttLink != nil {
+		g.mqttLink.Serve(g.core)
 	}
 	g.taker = g.core
-	if g.fresh || g.agreement != nil {
-		g.taker = &gate{g.core, g}
+	if g.recovers || g.agreement != nil {
+		g.taker = &admissionGate{g.core, g}
 	}
-	if Before != nil {
-		g.taker = Before(g.taker)
+	if Middleware != nil {
+		g.taker = Middleware(g.taker)
 	}
-	if c.Extensions.Enabled && c.Extensions.Calls.Broker != "" {
-		opt, keep := c.Extensions.callOptions(c.Name)
-		g.calls = mqtt.NewFront(loop, net, g.taker, c.Site, opt, keep, c.Seed, observe, log.Named("mqtt.calls"))
+	if conf.Extensions.Enabled && conf.Extensions.Calls.Broker != "" {
+		options, keepAnswers := conf.Extensions.callOptions(conf.Name)
+		g.mqttFront = mqtt.NewFront(loop, net, g.taker, conf.Site, options, keepAnswers, conf.Seed, observe, log.Named("mqtt.calls"))
 	}
 	if g.node != nil {
-		inner := told
-		told = func(whole bool, members []core.Member) {
+		inner := updateAll
+		updateAll = func(whole bool, members []core.Member) {
 			inner(whole, members)
 			g.recovery.Told(whole, members)
 			if g.agreement != nil {
@@ -88,47 +88,47 @@
 			}
 		}
 	}
-	g.feed = bulletin.NewFeed(loop, net, c.Bulletin, c.Site, c.Last, told, log.Named("bulletin"))
+	g.feed = bulletin.NewFeed(loop, net, conf.Bulletin, conf.Site, conf.LastEvent, updateAll, log.Named("bulletin"))
 	g.feed.OnListCurrent = g.core.ListCurrent
 	if g.node != nil {
 		g.feed.OnReceived = g.recovery.Current
 	}
-	g.known, g.told = c.Known, told
+	g.initialEvents, g.updateList = conf.KnownEvents, updateAll
 	return nil
 }
 
-// follow begins to follow the list.
-func (g *Gateway) follow() {
-	for _, e := range g.known {
-		g.told(e.Complete, e.Members)
+// followList applies the worker list of the configuration and connects to the bulletin.
+func (g *Gateway) followList() {
+	for _, e := range g.initialEvents {
+		g.updateList(e.Complete, e.Members)
 	}
-	g.known = nil
-	g.core.ListCurrent(g.began) // what the configuration holds is as of the start
+	g.initialEvents = nil
+	g.core.ListCurrent(g.startedAt) // the list of the configuration counts as current at the start of the process
 	g.feed.Connect()
-	if g.flows != nil {
-		g.flows.Start()
+	if g.flowExporter != nil {
+		g.flowExporter.Start()
 	}
 }
 
-// open takes clients.
-func (g *Gateway) open() {
-	if g.upgrade == nil || g.upgrade.from == nil {
+// acceptClients starts to serve clients.
+func (g *Gateway) acceptClients() {
+	if g.upgrade == nil || g.upgrade.predecessor == nil {
 		g.connectBrokers()
 	}
 	g.front.Serve(g.taker)
 	g.log.Info("ready", zap.String("listen", g.net.Addr()), zap.Uint64("event", g.feed.Last()))
 	if g.upgrade != nil {
-		g.upgrade.begin()
+		g.upgrade.start()
 	}
 }
 
-// connectBrokers begins the sessions with brokers. Two processes of a gateway have the same client id, and a broker
-// would end the session of one for the other's: a new process waits for the old one's end.
+// connectBrokers opens the sessions with MQTT brokers. Both processes of a gateway have the same client id, and a broker ends a
+// session when another client connects with its id, so a new process calls this only when the old one has ended.
 func (g *Gateway) connectBrokers() {
-	if g.link != nil {
-		g.link.Connect()
+	if g.mqttLink != nil {
+		g.mqttLink.Connect()
 	}
-	if g.calls != nil {
-		g.calls.Connect()
+	if g.mqttFront != nil {
+		g.mqttFront.Connect()
 	}
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -1,5 +1,5 @@
-// Package lifecycle starts and stops a gateway: its configuration, the order in which its parts come up, what
-// SIGTERM does.
+// Package lifecycle starts and stops a gateway. It reads the configuration, starts the parts in order, and drains the gateway
+// at SIGTERM.
 package lifecycle
 
 import (
@@ -18,40 +18,40 @@
 	"quillrail/internal/wire/opfront"
 )
 
-// Config is all that a gateway is told.
+// Config is the complete configuration of a gateway.
 type Config struct {
-	Name       string
-	Listen     string
-	Operator   string // where operators call, empty if nowhere
-	StateDir   string // where a new process finds what the old one hands on, empty if nowhere
-	Seed       uint64
-	Cores      float64
-	MemoryMB   int
-	Sockets    int
-	Bulletin   string
-	Last       uint64
-	Known      []bulletin.Event
-	Site       *settings.Site
-	Extensions *Extensions
-	Fleet      *fleet.Settings // nil or not enabled: this gateway knows of no other
-	ID         string          // its revision, or what is left of its text
+	Name        string
+	Listen      string
+	Operator    string // address of the operator listener, empty for none
+	StateDir    string // folder through which a process hands over to the next one, empty for no handover
+	Seed        uint64
+	Cores       float64
+	MemoryMB    int
+	Sockets     int
+	Bulletin    string
+	LastEvent   uint64
+	KnownEvents []bulletin.Event
+	Site        *settings.Site
+	Extensions  *Extensions
+	Fleet       *fleet.Settings // nil or not enabled: this gateway belongs to no fleet
+	Revision    string          // as the file names it, or else a short hash of the file's text
 }
 
-// clients is the number of clients' connections that are held: the third that the platform allows them, and a
-// few that are on their way out.
-func (c *Config) clients() int { return c.Sockets/3 + 8 }
+// clientSockets returns how many client connections are held at most: the third of all sockets that the platform grants to clients,
+// and 8 for connections that are being closed.
+func (c *Config) clientSockets() int { return c.Sockets/3 + 8 }
 
-// own is the number of descriptors kept for the process itself and for operators.
-func (c *Config) own() int {
+// reservedSockets returns how many descriptors are reserved for the process itself and for operators.
+func (c *Config) reservedSockets() int {
 	if c.Operator == "" {
-		return ownSockets
+		return processSockets
 	}
-	return ownSockets + opfront.Descriptors
+	return processSockets + opfront.Descriptors
 }
 
 type configFile struct {
 	Name     string `json:"name"`
-	Revision string `json:"revision"` // the same at all gateways that have the same one, whatever else differs among them
+	Revision string `json:"revision"` // equal at all gateways with the same revision, although name and addresses differ
 	Listen   string `json:"listen"`
 	Operator string `json:"operator"`
 	Seed     string `json:"seed"`
@@ -65,30 +65,30 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// FromEnv reads the configuration that the platform names in the environment, the file of the MQTT front and that of the
+// FromEnv reads the configuration file that the environment variable NODE_CONFIG names, the file of the extensions and that of the
 // fleet.
-func FromEnv(side, peers string) (*Config, error) {
-	c, err := nodeConfig()
+func FromEnv(mqttPath, fleetPath string) (*Config, error) {
+	c, err := readNodeConfig()
 	if err != nil {
 		return nil, err
 	}
-	if c.Extensions, err = ReadExtensions(side); err != nil {
+	if c.Extensions, err = ReadExtensions(mqttPath); err != nil {
 		return nil, err
 	}
-	if c.Fleet, err = fleet.Read(peers); err != nil {
+	if c.Fleet, err = fleet.Read(fleetPath); err != nil {
 		return nil, err
 	}
 	if err := checkRestrictions(c); err != nil {
-		return nil, fmt.Errorf("%s: %w", peers, err)
+		return nil, fmt.Errorf("%s: %w", fleetPath, err)
 	}
 	return c, nil
 }
 
-// nodeConfig reads and checks the configuration that the platform names in the environment.
-func nodeConfig() (*Config, error) {
+// readNodeConfig reads the configuration file that NODE_CONFIG names, applies the other NODE_ variables, and checks the result.
+func readNodeConfig() (*Config, error) {
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
-		return nil, errors.New("NODE_CONFIG names no file")
+		return nil, errors.New("environment variable NODE_CONFIG is empty, expected the path of a file")
 	}
 	text, err := settings.ReadText(path)
 	if err != nil {
@@ -98,8 +98,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if sum := sha256.Sum256(text); c.ID == "" {
-		c.ID = hex.EncodeToString(sum[:4])
+	if sum := sha256.Sum256(text); c.Revision == "" {
+		c.Revision = hex.EncodeToString(sum[:4])
 	}
 	if name := os.Getenv("NODE_NAME"); name != "" {
 		c.Name = name
@@ -110,7 +110,7 @@
 	if operator := os.Getenv("NODE_OPERATOR"); operator != "" {
 		c.Operator = operator
 	}
-	if c.Operator != "" { // a new version is started beside the old one only where operators are
+	if c.Operator != "" { // a new version is started beside the old one only if there is an operator listener
 		c.StateDir = os.Getenv("TMPDIR")
 	}
 	if err := c.check(); err != nil {
@@ -119,7 +119,7 @@
 	return c, nil
 }
 
-// ParseConfig reads a configuration.
+// ParseConfig parses the text of a configuration file.
 func ParseConfig(text []byte) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -130,14 +130,14 @@
 		return nil, fmt.Errorf("seed %q is not 16 hex digits", f.Seed)
 	}
 	if len(f.Revision) > 64 {
-		return nil, fmt.Errorf("revision has %d bytes, 64 at most", len(f.Revision))
+		return nil, fmt.Errorf("revision has %d bytes, at most 64 are allowed", len(f.Revision))
 	}
-	c := &Config{Name: f.Name, ID: f.Revision, Listen: f.Listen, Operator: f.Operator, Seed: seed, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB,
-		Sockets: f.Limits.Sockets, Bulletin: f.Bulletin}
+	c := &Config{Name: f.Name, Revision: f.Revision, Listen: f.Listen, Operator: f.Operator, Seed: seed, Cores: f.Limits.Cores,
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Bulletin: f.Bulletin}
 	if c.Site, err = settings.ParseStrict(f.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if c.Last, c.Known, err = bulletin.ParseKnown(f.Known, c.Site); err != nil {
+	if c.LastEvent, c.KnownEvents, err = bulletin.ParseKnown(f.Known, c.Site); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	return c, nil
@@ -156,10 +156,10 @@
 		return fmt.Errorf("bulletin: %w", err)
 	}
 	if c.Sockets < 64 || c.MemoryMB < 32 {
-		return fmt.Errorf("limits: %d sockets and %d MB are too few", c.Sockets, c.MemoryMB)
+		return fmt.Errorf("limits: sockets is %d and memory_mb is %d, expected at least 64 and 32", c.Sockets, c.MemoryMB)
 	}
 	if !(c.Cores > 0) {
-		return fmt.Errorf("limits: cores is %v, wanted more than 0", c.Cores)
+		return fmt.Errorf("limits: cores is %v, expected more than 0", c.Cores)
 	}
 	return nil
 }
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -15,62 +15,62 @@
 	"quillrail/internal/wire/sock"
 )
 
-// The time for the last answers follows from the classes: SIGKILL comes 0.7 s after the longest deadline, of which the
-// platform counts 3 s at most.
-func TestDrainFollowsTheDeadlines(t *testing.T) {
+// The time for the last answers is derived from the deadlines of the classes. The platform sends SIGKILL 0.7 s after the longest one,
+// which it counts as 3 s at most.
+func TestDrainLimitFollowsClassDeadlines(t *testing.T) {
 	for deadline, want := range map[string]time.Duration{"4": 3300 * time.Millisecond, "1.2": 1500 * time.Millisecond} {
 		c, err := ParseConfig([]byte(strings.NewReplacer(`"deadline-s":4`, `"deadline-s":`+deadline, "%WORKER%", "127.0.0.1:2").
-			Replace(text)))
+			Replace(configText)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := (&Gateway{conf: c}).longest(); got != want {
-			t.Errorf("deadline %s s: %v, want %v", deadline, got, want)
+		if got := (&Gateway{conf: c}).drainLimit(); got != want {
+			t.Errorf("deadline %s s: drain limit %v, want %v", deadline, got, want)
 		}
 	}
 }
 
-// worker is a stand-in on a real socket that answers every call.
-type worker struct {
-	c    sock.Conn
-	hold chan struct{}
-	came chan string // what comes, where the test looks at it
+// workerStub is a worker on a real socket that answers every call once it can receive from release.
+type workerStub struct {
+	conn     sock.Conn
+	release  chan struct{}
+	received chan string // the lines that arrive, or nil if the test doesn't need them
 }
 
-func (w *worker) Data(b []byte) error {
+func (w *workerStub) Data(b []byte) error {
 	for line := range strings.Lines(string(b)) {
 		words := strings.Fields(line)
-		if w.came != nil && len(words) > 1 {
-			w.came <- line
+		if w.received != nil && len(words) > 1 {
+			w.received <- line
 		}
-		if len(words) < 4 || words[0] != "CALL" { // it stands for the bulletin as well, which has no news
+		if len(words) < 4 || words[0] != "CALL" { // the stub serves as the bulletin, too, which publishes nothing
 			continue
 		}
-		go func() { // never on the I/O goroutine
-			<-w.hold
-			w.c.Write([]byte(words[1] + " OK detail=warm 4\r\ndone\r\n"))
+		go func() { // the I/O goroutine must not block
+			<-w.release
+			w.conn.Write([]byte(words[1] + " OK detail=warm 4\r\ndone\r\n"))
 		}()
 	}
 	return nil
 }
 
-func (w *worker) Closed(error) {}
+func (w *workerStub) Closed(error) {}
 
-// A gateway on real sockets: ready, a call served, SIGTERM while another is open, its answer, the end. The clock
-// is the test's, so that the drain takes no time.
+// A gateway on real sockets becomes ready and serves a call; at SIGTERM with another call in flight it waits for the answer and then
+// ends. The test sets the clock, so that the drain takes no real time.
 func TestGatewayServesAndDrains(t *testing.T) {
-	for _, side := range []string{"", mqttOn} { // with MQTT and export on, and nobody there to speak to
-		s, err := ParseExtensions(side)
+	for _, extensions := range []string{"", extensionsText} { // off, and on without a broker or collector that answers
+		s, err := ParseExtensions(extensions)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, drained := range []bool{false, true} { // SIGTERM ends a gateway that operators have drained as well
-			servesAndDrains(t, s, drained)
+		for _, drained := range []bool{false, true} { // SIGTERM also ends a gateway that operators have drained
+			serveAndDrain(t, s, drained)
 		}
 	}
 }
 
-const mqttOn = `enabled = true
+const extensionsText = `enabled = true
 [calls]
 broker = "127.0.0.1:1"
 client_id = "c"
@@ -93,18 +93,19 @@
 queue = 10
 `
 
-func servesAndDrains(t *testing.T, side *Extensions, drained bool) {
-	hold := make(chan struct{})
-	workers, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 64, Accepted: 64}, func(c sock.Conn) sock.Handler { return &worker{c: c, hold: hold} }, zap.NewNop())
+func serveAndDrain(t *testing.T, extensions *Extensions, drained bool) {
+	release := make(chan struct{})
+	workers, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 64, Accepted: 64},
+		func(c sock.Conn) sock.Handler { return &workerStub{conn: c, release: release} }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer workers.Stop()
-	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", workers.Addr(), "%WORKER%", workers.Addr()).Replace(text)))
+	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", workers.Addr(), "%WORKER%", workers.Addr()).Replace(configText)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Extensions = side
+	c.Extensions = extensions
 	var mu sync.Mutex
 	now := 1000 * time.Hour
 	g, err := Start(c, func() time.Duration { mu.Lock(); defer mu.Unlock(); return now }, zap.NewNop())
@@ -114,7 +115,7 @@
 	defer g.net.Stop()
 	ended := make(chan struct{})
 	g.done = func() { close(ended) }
-	go func() { // the turn
+	go func() { // the event loop
 		for {
 			select {
 			case <-ended:
@@ -157,12 +158,12 @@
 		return got
 	}
 	first := call("0000000000000001")
-	hold <- struct{}{}
+	release <- struct{}{}
 	if got := <-first; got != "200done" {
 		t.Fatalf("first call: %s", got)
 	}
 	second := call("0000000000000002")
-	for open := 0; open == 0; { // until it has been taken
+	for open := 0; open == 0; { // until the gateway has accepted the call
 		got := make(chan int)
 		g.loop.Post(func() { got <- g.core.InFlight() })
 		open = <-got
@@ -175,34 +176,34 @@
 		g.loop.Post(func() { close(done) })
 		select {
 		case <-done:
-		case <-ended: // no turn will come
+		case <-ended: // there will be no further loop iteration
 		}
 	}
 	if drained {
 		g.loop.Post(func() {
-			(*desk)(g).Drain()
-			g.reload(g.conf, nil) // SIGHUP leaves it drained
-			if (*desk)(g).Ready() == nil {
-				t.Error("ready though drained")
+			(*operatorAPI)(g).Drain()
+			g.reload(g.conf, nil) // after SIGHUP the gateway is still drained
+			if (*operatorAPI)(g).Ready() == nil {
+				t.Error("gateway is ready although it is drained")
 			}
 		})
 		pass(0)
 	}
 	g.loop.Post(g.drain)
 	pass(0)
-	pass(keepAccept)
-	pass(time.Second) // the call is still open: the process must not end
+	pass(callWindow)
+	pass(time.Second) // the call is still in flight: the process must not end
 	select {
 	case <-ended:
-		t.Fatal("ended with a call open")
+		t.Fatal("gateway ended with a call in flight")
 	default:
 	}
-	hold <- struct{}{}
+	release <- struct{}{}
 	if got := <-second; got != "200done" {
 		t.Errorf("second call: %s", got)
 	}
 	for {
-		pass(lastFlush)
+		pass(flushDelay)
 		select {
 		case <-ended:
 			return
--- a/internal/lifecycle/extensions.go
+++ b/internal/lifecycle/extensions.go
@@ -14,8 +14,8 @@
 	"quillrail/internal/wire/workerlink"
 )
 
-// Extensions is the part of the configuration that is ours: the MQTT front and the export of flows, from
-// deploy/mqtt.toml. Both are off unless it says otherwise.
+// Extensions is the configuration of the MQTT front, of workers reached by MQTT, and of the export of flow records. It is read from
+// deploy/mqtt.toml, a file of this program rather than of the platform. All are off unless the file enables them.
 type Extensions struct {
 	Enabled bool `toml:"enabled"`
 	Calls   struct {
@@ -48,12 +48,12 @@
 	} `toml:"export"`
 }
 
-// ReadExtensions reads the file; one that does not exist turns everything off.
+// ReadExtensions reads the file of the extensions. If it does not exist, all are off.
 func ReadExtensions(path string) (*Extensions, error) {
 	return settings.ReadFile(path, ParseExtensions)
 }
 
-// ParseExtensions reads the file's text and checks what is enabled.
+// ParseExtensions parses the text of the file and checks the parts that are enabled.
 func ParseExtensions(text string) (*Extensions, error) {
 	s := &Extensions{}
 	if err := settings.DecodeTOML(text, s); err != nil {
@@ -65,11 +65,11 @@
 		}
 	}
 	if e := &s.Export; e.Enabled {
-		if err := loopback(e.Collector); err != nil {
+		if err := checkLoopback(e.Collector); err != nil {
 			return nil, fmt.Errorf("export: collector: %w", err)
 		}
 		if e.Queue < 1 || e.Queue > 1<<16 {
-			return nil, fmt.Errorf("export: queue is %d, 1 to 65536 wanted", e.Queue)
+			return nil, fmt.Errorf("export: queue is %d, expected 1 to 65536", e.Queue)
 		}
 	}
 	return s, nil
@@ -77,36 +77,38 @@
 
 func (s *Extensions) checkMQTT() error {
 	if c := &s.Calls; c.Broker != "" {
-		if err := loopback(c.Broker); err != nil {
+		if err := checkLoopback(c.Broker); err != nil {
 			return fmt.Errorf("calls: broker: %w", err)
 		}
 		if c.ClientID == "" || len(c.Listen) == 0 || slices.Contains(c.Listen, "") {
-			return fmt.Errorf("calls: client_id and listen are needed")
+			return fmt.Errorf("calls: client_id and at least one topic in listen must be set")
 		}
 		if c.SessionExpiry < 1 || c.SessionExpiry > 86400 || c.KeepAlive < 1 || c.KeepAlive > 65535 {
-			return fmt.Errorf("calls: session_expiry_s is %d, keep_alive_s is %d", c.SessionExpiry, c.KeepAlive)
+			return fmt.Errorf("calls: session_expiry_s is %d, expected 1 to 86400; keep_alive_s is %d, expected 1 to 65535",
+				c.SessionExpiry, c.KeepAlive)
 		}
 	}
-	w := &s.Workers
-	if w.Broker == "" {
+	workers := &s.Workers
+	if workers.Broker == "" {
 		return nil
 	}
-	if err := loopback(w.Broker); err != nil {
+	if err := checkLoopback(workers.Broker); err != nil {
 		return fmt.Errorf("workers: broker: %w", err)
 	}
-	if w.ClientID == "" || w.Replies == "" || strings.ContainsAny(w.Replies, "+#") || w.KeepAlive < 1 || w.KeepAlive > 65535 {
-		return fmt.Errorf("workers: client_id, a replies topic and keep_alive_s are needed")
+	if workers.ClientID == "" || workers.Replies == "" || strings.ContainsAny(workers.Replies, "+#") ||
+		workers.KeepAlive < 1 || workers.KeepAlive > 65535 {
+		return fmt.Errorf("workers: client_id, replies (a topic without wildcards) and keep_alive_s (1 to 65535) must be set")
 	}
-	for i, x := range w.Worker {
-		if x.Name == "" || x.Topic == "" || x.Status == "" || strings.ContainsAny(x.Topic+x.Status, "+#") {
-			return fmt.Errorf("workers: worker %d needs a name and the topics topic and status", i+1)
+	for i, worker := range workers.Worker {
+		if worker.Name == "" || worker.Topic == "" || worker.Status == "" || strings.ContainsAny(worker.Topic+worker.Status, "+#") {
+			return fmt.Errorf("workers: worker %d: name, topic and status must be set, the topics without wildcards", i+1)
 		}
 	}
 	return nil
 }
 
-// loopback refuses addresses that are not on this machine.
-func loopback(addr string) error {
+// checkLoopback returns an error unless addr is a port of a loopback IP address.
+func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
@@ -119,25 +121,25 @@
 
 func (s *Extensions) callOptions(node string) (mqtt.Options, time.Duration) {
 	c := &s.Calls
-	o := mqtt.Options{Broker: c.Broker, ClientID: c.ClientID + "-" + node, Subscribe: c.Listen,
+	options := mqtt.Options{Broker: c.Broker, ClientID: c.ClientID + "-" + node, Subscribe: c.Listen,
 		SessionExpiry: time.Duration(c.SessionExpiry) * time.Second, KeepAlive: time.Duration(c.KeepAlive) * time.Second}
-	// The broker may deliver a call again until its session expires; answers are kept for longer.
-	return o, o.SessionExpiry + 2*time.Minute
+	// The broker may deliver a call again until the session expires, so answers are stored for two minutes longer.
+	return options, options.SessionExpiry + 2*time.Minute
 }
 
 func (s *Extensions) workerOptions(node string, site *settings.Site) (mqtt.Options, string, []mqtt.Worker, error) {
-	w := &s.Workers
+	workers := &s.Workers
 	var list []mqtt.Worker
-	for _, x := range w.Worker {
-		zone := slices.Index(site.Zones, x.Zone)
+	for _, worker := range workers.Worker {
+		zone := slices.Index(site.Zones, worker.Zone)
 		if zone < 0 {
-			return mqtt.Options{}, "", nil, fmt.Errorf("workers: worker %s: zone %q is unknown", x.Name, x.Zone)
+			return mqtt.Options{}, "", nil, fmt.Errorf("workers: worker %s: zone %q is unknown", worker.Name, worker.Zone)
 		}
-		list = append(list, mqtt.Worker{Name: mqtt.Prefix + x.Name, Topic: x.Topic, StatusTopic: x.Status, Zone: zone,
-			Cell: x.Cell, Weight: x.Weight})
+		list = append(list, mqtt.Worker{Name: mqtt.Prefix + worker.Name, Topic: worker.Topic, StatusTopic: worker.Status, Zone: zone,
+			Cell: worker.Cell, Weight: worker.Weight})
 	}
-	return mqtt.Options{Broker: w.Broker, ClientID: w.ClientID + "-" + node,
-		KeepAlive: time.Duration(w.KeepAlive) * time.Second}, w.Replies + "/" + node, list, nil
+	return mqtt.Options{Broker: workers.Broker, ClientID: workers.ClientID + "-" + node,
+		KeepAlive: time.Duration(workers.KeepAlive) * time.Second}, workers.Replies + "/" + node, list, nil
 }
 
 func (s *Extensions) exportOptions(site *settings.Site) ipfix.Options {
@@ -146,52 +148,52 @@
 		Tenants: site.Tenants}
 }
 
-// bothKinds is the workers of both kinds. Those of MQTT have names of their own, and are added to every whole list
-// of the bulletin, which knows nothing of them.
-type bothKinds struct {
+// workerRouter implements core.Workers for workers that are reached directly and for those that are reached by MQTT. It tells them
+// apart by the prefix of their names. The bulletin does not list MQTT workers, so they are added to each complete list.
+type workerRouter struct {
 	*workerlink.Pool
 	mqtt *mqtt.Link
 }
 
-func (f *bothKinds) link(host string) core.Workers {
+func (r *workerRouter) workersFor(host string) core.Workers {
 	if strings.HasPrefix(host, mqtt.Prefix) {
-		return f.mqtt
+		return r.mqtt
 	}
-	return f.Pool
+	return r.Pool
 }
 
-func (f *bothKinds) Send(a core.Attempt)              { f.link(a.Host).Send(a) }
-func (f *bothKinds) Cancel(host string, ref core.Ref) { f.link(host).Cancel(host, ref) }
-func (f *bothKinds) WithdrawAttempt(host string, ref core.Ref) bool {
-	return f.link(host).WithdrawAttempt(host, ref)
+func (r *workerRouter) Send(a core.Attempt)              { r.workersFor(a.Host).Send(a) }
+func (r *workerRouter) Cancel(host string, ref core.Ref) { r.workersFor(host).Cancel(host, ref) }
+func (r *workerRouter) WithdrawAttempt(host string, ref core.Ref) bool {
+	return r.workersFor(host).WithdrawAttempt(host, ref)
 }
-func (f *bothKinds) Probe(ref core.Ref, host string)  { f.link(host).Probe(ref, host) }
-func (f *bothKinds) Forget(host string, ref core.Ref) { f.link(host).Forget(host, ref) }
-func (f *bothKinds) Unload(host, function string)     { f.link(host).Unload(host, function) }
-func (f *bothKinds) Release(host string)              { f.link(host).Release(host) }
-func (f *bothKinds) Load(ref core.Ref, host, function string, copies int) {
-	f.link(host).Load(ref, host, function, copies)
+func (r *workerRouter) Probe(ref core.Ref, host string)  { r.workersFor(host).Probe(ref, host) }
+func (r *workerRouter) Forget(host string, ref core.Ref) { r.workersFor(host).Forget(host, ref) }
+func (r *workerRouter) Unload(host, function string)     { r.workersFor(host).Unload(host, function) }
+func (r *workerRouter) Release(host string)              { r.workersFor(host).Release(host) }
+func (r *workerRouter) Load(ref core.Ref, host, function string, copies int) {
+	r.workersFor(host).Load(ref, host, function, copies)
 }
 
-// WithdrawUnwritten takes back what is unwritten on both.
-func (f *bothKinds) WithdrawUnwritten(mayGet func(string) bool) {
-	f.Pool.WithdrawUnwritten(mayGet)
-	f.mqtt.WithdrawUnwritten(mayGet)
+// WithdrawUnwritten withdraws calls that are not written yet, on both links.
+func (r *workerRouter) WithdrawUnwritten(mayGet func(string) bool) {
+	r.Pool.WithdrawUnwritten(mayGet)
+	r.mqtt.WithdrawUnwritten(mayGet)
 }
 
-// ApplyList passes on the workers that are not of MQTT.
-func (f *bothKinds) ApplyList(whole bool, members []core.Member) {
-	f.Pool.ApplyList(whole, slices.DeleteFunc(slices.Clone(members), func(m core.Member) bool {
+// ApplyList passes the workers that are not reached by MQTT to the pool.
+func (r *workerRouter) ApplyList(whole bool, members []core.Member) {
+	r.Pool.ApplyList(whole, slices.DeleteFunc(slices.Clone(members), func(m core.Member) bool {
 		return strings.HasPrefix(m.Name, mqtt.Prefix)
 	}))
 }
 
-// bulletin passes on what the bulletin tells.
-func (f *bothKinds) bulletin(tell func(bool, []core.Member)) func(bool, []core.Member) {
+// addMQTTMembers returns a function that adds the MQTT workers to complete lists and passes all lists on to update.
+func (r *workerRouter) addMQTTMembers(update func(bool, []core.Member)) func(bool, []core.Member) {
 	return func(whole bool, members []core.Member) {
 		if whole {
-			members = append(slices.Clip(members), f.mqtt.Members()...)
+			members = append(slices.Clip(members), r.mqtt.Members()...)
 		}
-		tell(whole, members)
+		update(whole, members)
 	}
 }
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -16,143 +16,147 @@
 	"quillrail/internal/wire/bulletin"
 )
 
-// peers is what the fleet's node sees of the gateway.
-type peers Gateway
-
-// comeBack makes the node. Where this process takes over from one that serves, that one still has the gateway's place in
-// the fleet and its file: the node starts once it has ended, and nothing has to be recovered. left are the bans of a state
-// file, from before the fleet kept its own.
-func (g *Gateway) comeBack(c *Config, left []roster.Ban) {
-	if c.Fleet == nil || !c.Fleet.Enabled {
+// fleetGateway is the Gateway as the fleet node uses it: it implements the interface that package fleet requires.
+type fleetGateway Gateway
+
+// addFleetNode creates the fleet node, if the gateway belongs to a fleet. While a predecessor runs it is the fleet's member of this
+// name and owns the node's file: then the node starts only when that process has ended, and there is nothing to recover. savedBans
+// are the bans of the state file; the node adopts them too, since they may date from before the gateway belonged to a fleet.
+func (g *Gateway) addFleetNode(conf *Config, savedBans []roster.Ban) {
+	if conf.Fleet == nil || !conf.Fleet.Enabled {
 		return
 	}
-	s, d := *c.Fleet, c.Site.Decide
-	s.ColdFrom, s.ColdFor = d.ColdFrom, d.ColdFor
+	settings, decideConf := *conf.Fleet, conf.Site.Decide
+	settings.ColdFrom, settings.ColdFor = decideConf.ColdFrom, decideConf.ColdFor
 	var worth []float64
-	for _, k := range d.Classes {
+	for _, k := range decideConf.Classes {
 		worth = append(worth, k.Worth)
 	}
-	lim := recover.Limits{Classes: len(d.Classes), Tenants: len(d.Tenants)}
-	g.node = fleet.New(g.loop, &s, c.Name, d.Zone, g.log.Named("fleet"))
+	limits := recover.Limits{Classes: len(decideConf.Classes), Tenants: len(decideConf.Tenants)}
+	g.node = fleet.New(g.loop, &settings, conf.Name, decideConf.Zone, g.log.Named("fleet"))
 	g.node.Add(func(h *fleet.Host) fleet.Part {
-		g.recovery = fleet.NewRecovery(h, (*peers)(g), &s, lim, worth, left)
+		g.recovery = fleet.NewRecovery(h, (*fleetGateway)(g), &settings, limits, worth, savedBans)
 		return g.recovery
 	})
-	g.agreeing(c)
+	g.addAgreement(conf)
 }
 
-// join takes the gateway's place in the fleet; serves says that this process has taken over from one that served.
-func (g *Gateway) join(serves bool) {
+// joinFleet makes the gateway a member of the fleet. serves states that this process serves already, having taken over from another.
+func (g *Gateway) joinFleet(serves bool) {
 	g.recovery.Start(serves)
 	g.node.Start()
 }
 
-// Begin builds the gateway, unless it serves already.
-func (p *peers) Begin(b fleet.Begin) error {
-	g := (*Gateway)(p)
-	if g.core != nil {
+// Begin builds the gateway from the recovered state. If the gateway serves already it only adopts the bans.
+func (f *fleetGateway) Begin(b fleet.Begin) error {
+	gateway := (*Gateway)(f)
+	if gateway.core != nil {
 		for _, ban := range b.Roster.Bans {
-			g.core.Adopt(ban)
+			gateway.core.Adopt(ban)
 		}
 		return nil
 	}
-	c := *g.conf
+	conf := *gateway.conf
 	if b.List != nil {
-		c.Known, c.Last = []bulletin.Event{{No: b.Event, Complete: true, Members: b.List}}, b.Event
+		conf.KnownEvents, conf.LastEvent = []bulletin.Event{{No: b.Event, Complete: true, Members: b.List}}, b.Event
 	}
-	if err := g.build(&c, handover.State{Roster: b.Roster, Module: b.Module}); err != nil {
+	if err := gateway.build(&conf, handover.State{Roster: b.Roster, Module: b.Module}); err != nil {
 		return err
 	}
-	if m := g.core.Remember(); len(b.Stands) > 0 {
+	if memory := gateway.core.Remember(); len(b.Stands) > 0 {
 		since := map[string]time.Duration{}
-		for _, e := range c.Known {
+		for _, e := range conf.KnownEvents {
 			for _, w := range e.Members {
 				since[w.Name] = w.Since
 			}
 		}
 		for _, s := range b.Stands {
-			m.AddCopy(s.Function, s.Worker, since[s.Worker], s.At)
+			memory.AddCopy(s.Function, s.Worker, since[s.Worker], s.At)
 		}
-		if err := g.core.Recall(m); err != nil {
-			g.log.Warn("copies that others have found are not known here", zap.Error(err))
+		if err := gateway.core.Recall(memory); err != nil {
+			gateway.log.Warn("loaded copies reported by other gateways could not be used", zap.Error(err))
 		}
 	}
-	g.follow()
+	gateway.followList()
 	return nil
 }
 
-// Serve takes clients.
-func (p *peers) Serve() {
-	if g := (*Gateway)(p); !g.front.Ready() {
-		g.open()
+// Serve starts to serve clients, unless the gateway does so already.
+func (f *fleetGateway) Serve() {
+	if g := (*Gateway)(f); !g.front.Ready() {
+		g.acceptClients()
 	}
 }
 
-func (p *peers) Remember() *decide.Snapshot { return p.core.Remember() }
-func (p *peers) Saved() roster.Saved        { return p.core.Saved() }
+func (f *fleetGateway) Remember() *decide.Snapshot { return f.core.Remember() }
+func (f *fleetGateway) Saved() roster.Saved        { return f.core.Saved() }
 
-// Event is the last event of the list.
-func (p *peers) Event() uint64 {
-	if p.feed == nil {
-		return p.conf.Last
+// Event returns the number of the last bulletin event that was applied.
+func (f *fleetGateway) Event() uint64 {
+	if f.feed == nil {
+		return f.conf.LastEvent
 	}
-	return p.feed.Last()
+	return f.feed.Last()
 }
 
-// Ban and CallBack carry out what an operator has said at another gateway.
-func (p *peers) Ban(b roster.Ban) { p.core.Adopt(b); p.keep() }
-func (p *peers) CallBack(id string) {
-	if p.core.Enable(id) == nil {
-		p.keep()
+// Ban applies a ban that an operator has laid at another gateway.
+func (f *fleetGateway) Ban(b roster.Ban) { f.core.Adopt(b); f.saveState() }
+
+// CallBack lifts a ban that an operator has lifted at another gateway.
+func (f *fleetGateway) CallBack(id string) {
+	if f.core.Enable(id) == nil {
+		f.saveState()
 	}
 }
 
-func (p *peers) keep() {
-	if p.upgrade != nil && p.upgrade.saver != nil {
-		p.upgrade.save()
+func (f *fleetGateway) saveState() {
+	if f.upgrade != nil && f.upgrade.saver != nil {
+		f.upgrade.save()
 	}
 }
 
-// Hold leaves workers alone that others know to drain.
-func (p *peers) Hold(ids map[string]bool) { p.core.SetDraining(ids) }
+// Hold excludes workers from selection that other gateways report as draining.
+func (f *fleetGateway) Hold(ids map[string]bool) { f.core.SetDraining(ids) }
 
-// AssumeRate has cold workers judged by the rate that was served before, and bounds the loads under way.
-func (p *peers) AssumeRate(perSec float64, loads int) { p.core.AssumeRate(perSec, loads) }
+// AssumeRate makes the module judge cold workers by the rate that was served before, in calls per second, and bounds the loads in
+// flight (0 for no bound).
+func (f *fleetGateway) AssumeRate(perSec float64, loads int) { f.core.AssumeRate(perSec, loads) }
 
-// gate is what fronts give their calls to in a fleet: while the gateway comes back not all are admitted, and some may run at
-// stated sites alone.
-type gate struct {
+// admissionGate is the taker of the fronts in a fleet. It refuses calls that recovery does not admit yet, and limits calls to the sites
+// that restrictions allow.
+type admissionGate struct {
 	*core.Core
-	g *Gateway
+	gateway *Gateway
 }
 
-// Count notes a call that was answered before the core had it: those that compare versions count it as well.
-func (t *gate) Count(class int, answer string) {
-	t.Core.Count(class, answer)
-	if t.g.agreement != nil {
-		t.g.agreement.Count(class, answer)
+// Count counts a call that was answered before it reached the core. The agreement part counts it as well, to compare versions.
+func (a *admissionGate) Count(class int, answer string) {
+	a.Core.Count(class, answer)
+	if a.gateway.agreement != nil {
+		a.gateway.agreement.Count(class, answer)
 	}
 }
 
-// Submit refuses a call that is not admitted yet; nothing has run.
-func (t *gate) Submit(call core.Call) core.Ref {
+// Submit passes a call on to the core, or refuses it before any attempt if it is not admitted or may run nowhere.
+func (a *admissionGate) Submit(call core.Call) core.Ref {
 	ok, pause, why := true, time.Duration(0), ""
-	if t.g.fresh {
-		ok, pause = t.g.recovery.Admit(call.Class, call.Function)
+	if a.gateway.recovers {
+		ok, pause = a.gateway.recovery.Admit(call.Class, call.Function)
 	}
-	if ok && t.g.agreement != nil {
-		pause, why = t.g.place(&call)
+	if ok && a.gateway.agreement != nil {
+		pause, why = a.gateway.placeCall(&call)
 	}
 	if !ok || why != "" {
-		t.Count(call.Class, "refused")
+		a.Count(call.Class, "refused")
 		call.Reply.Refused(pause, why)
 		return 0
 	}
-	return t.Core.Submit(call)
+	return a.Core.Submit(call)
 }
 
-// phase is how far the gateway has come back, for those who ask whether it is ready.
-func (g *Gateway) phase() error {
+// notReadyError returns the answer to operators while the gateway is not ready. In a fleet it names the phase of the recovery and what
+// the gateway goes on without.
+func (g *Gateway) notReadyError() error {
 	if g.node == nil {
 		return errNotReady
 	}
@@ -163,10 +167,10 @@
 	return fmt.Errorf("not ready: %s", phase)
 }
 
-// fleetStat words the fleet's figures.
-func (g *Gateway) fleetStat(gauge func(string, int)) {
+// writeFleetMetrics reports the metrics of the fleet node and of the agreement.
+func (g *Gateway) writeFleetMetrics(gauge func(string, int)) {
 	g.node.Figures(func(name string, value int) { gauge("fleet."+name, value) })
-	if g.asks() {
-		g.agreedStat(gauge)
+	if g.requiresPermits() {
+		g.writeAgreementMetrics(gauge)
 	}
 }
--- a/internal/lifecycle/handover/link.go
+++ b/internal/lifecycle/handover/link.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	helloLimit = 2 * time.Second // for the first exchange; a new process has some seconds to its first yes
-	writeLimit = time.Second     // a peer that takes no message for so long is gone
-	outgoing   = 64              // messages that wait for a peer
+	helloTimeout    = 2 * time.Second // limit for the initial exchange; a new process must be ready within a few seconds of its start
+	writeTimeout    = time.Second     // a peer that accepts no message within this time is given up
+	sendQueueLength = 64              // number of messages that may wait to be sent to a peer
 )
 
-// message is one frame on the link: four bytes of length, then JSON.
+// message is the content of one frame on the link. A frame is a length of four bytes in big-endian order, followed by JSON.
 type message struct {
-	Kind  string      `json:"kind"` // hello, state, no, ready, ban, call back
-	Who   *Who        `json:"who,omitempty"`
-	State *State      `json:"state,omitempty"`
-	Ban   *roster.Ban `json:"ban,omitempty"`
-	Why   string      `json:"why,omitempty"`
+	Kind     string      `json:"kind"` // one of hello, state, no, ready, ban, call back
+	Identity *Identity   `json:"who,omitempty"`
+	State    *State      `json:"state,omitempty"`
+	Ban      *roster.Ban `json:"ban,omitempty"`
+	Why      string      `json:"why,omitempty"`
 }
 
-func frame(m message) ([]byte, error) {
+func encodeFrame(m message) ([]byte, error) {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > maxState {
+	if len(text) > maxStateBytes {
 		return nil, fmt.Errorf("a message of %d bytes", len(text))
 	}
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(text))), text...), nil
 }
 
-func read(r io.Reader) (m message, err error) {
+func readMessage(r io.Reader) (m message, err error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return m, err
 	}
-	return readRest(r, head)
+	return readBody(r, head)
 }
 
-func readRest(r io.Reader, head [4]byte) (m message, err error) {
+func readBody(r io.Reader, head [4]byte) (m message, err error) {
 	n := binary.BigEndian.Uint32(head[:])
-	if n > maxState {
+	if n > maxStateBytes {
 		return m, fmt.Errorf("a message of %d bytes", n)
 	}
 	text := make([]byte, n)
@@ -57,18 +57,18 @@
 	return m, json.Unmarshal(text, &m)
 }
 
-// short returns a path to dir that fits into the address of a Unix socket, whatever dir is called. Its directory must
-// be kept open for as long.
-func short(dir string) (string, *os.File, error) {
-	d, err := os.Open(dir)
+// shortPath returns a path to dir that fits into the address of a Unix socket however long the name of dir is. The path is valid
+// as long as the returned file, which is dir itself, stays open.
+func shortPath(dir string) (string, *os.File, error) {
+	folder, err := os.Open(dir)
 	if err != nil {
 		return "", nil, err
 	}
-	return fmt.Sprintf("/proc/self/fd/%d", d.Fd()), d, nil
+	return fmt.Sprintf("/proc/self/fd/%d", folder.Fd()), folder, nil
 }
 
 const (
-	linkName = "quillrail.sock"
-	tempName = "quillrail.sock.new"
-	openFor  = 5 * time.Second // for either end of the link, while the machine lacks something for it
+	socketName     = "quillrail.sock"
+	tempSocketName = "quillrail.sock.new"
+	openRetryLimit = 5 * time.Second // how long either end retries while the system temporarily lacks resources, such as descriptors
 )
--- a/internal/lifecycle/handover/peer.go
+++ b/internal/lifecycle/handover/peer.go
@@ -8,93 +8,93 @@
 	"quillrail/internal/roster"
 )
 
-// Events is what comes over the link. Its methods are called on goroutines of the link, one at a time for each peer.
-type Events interface {
-	Ban(roster.Ban)                      // an operator has left a worker out at the other process
-	CallBack(id string)                  // or has called it back
-	PeerReady(p *Peer)                   // the successor can serve
-	PeerGone(p *Peer)                    // the other process has ended, or has been given up
-	Offer() (net.Listener, State, error) // what a successor gets; an error is the reason for nothing
-	Taken(p *Peer)                       // a successor has it
+// Handler receives the events of a link. Its methods are called on goroutines of the link, one at a time for each peer.
+type Handler interface {
+	Ban(roster.Ban)                      // an operator has banned a worker at the other process
+	Unban(id string)                     // an operator has lifted the ban of a worker there
+	PeerReady(p *Peer)                   // the successor is ready to serve
+	PeerGone(p *Peer)                    // the other process has ended or has stopped responding
+	Offer() (net.Listener, State, error) // the socket and state for a successor; the text of an error is sent to it as the reason of a refusal
+	HandedOver(p *Peer)                  // a successor has been sent what Offer returned
 }
 
-// Peer is the other process of the gateway.
+// Peer is the link to the other process of the same gateway.
 type Peer struct {
-	conn *net.UnixConn
-	out  chan []byte
-	once sync.Once
-	end  chan struct{}
+	conn      *net.UnixConn
+	outgoing  chan []byte
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func newPeer(conn *net.UnixConn) *Peer {
-	return &Peer{conn: conn, out: make(chan []byte, outgoing), end: make(chan struct{})}
+	return &Peer{conn: conn, outgoing: make(chan []byte, sendQueueLength), closed: make(chan struct{})}
 }
 
-// Close ends the link.
+// Close closes the link. It may be called more than once.
 func (p *Peer) Close() {
-	p.once.Do(func() {
-		close(p.end)
+	p.closeOnce.Do(func() {
+		close(p.closed)
 		p.conn.Close()
 	})
 }
 
-// send queues a message and never waits. A peer that takes nothing is given up.
+// send queues a message and never blocks. It closes the link if the queue is full, since the peer does not read.
 func (p *Peer) send(m message) {
-	b, err := frame(m)
+	b, err := encodeFrame(m)
 	if err != nil {
 		p.Close()
 		return
 	}
 	select {
-	case p.out <- b:
+	case p.outgoing <- b:
 	default:
 		p.Close()
 	}
 }
 
-// Ready tells the predecessor that this process can serve.
+// Ready notifies the predecessor that this process is ready to serve.
 func (p *Peer) Ready() { p.send(message{Kind: "ready"}) }
 
-// Ban tells of a worker left out by hand here.
+// Ban notifies the peer that an operator has banned a worker at this process.
 func (p *Peer) Ban(b roster.Ban) { p.send(message{Kind: "ban", Ban: &b}) }
 
-// CallBack tells of a worker called back here.
-func (p *Peer) CallBack(id string) { p.send(message{Kind: "call back", Ban: &roster.Ban{ID: id}}) }
+// Unban notifies the peer that an operator has lifted the ban of a worker at this process.
+func (p *Peer) Unban(id string) { p.send(message{Kind: "call back", Ban: &roster.Ban{ID: id}}) }
 
-// run carries messages until the link ends.
-func (p *Peer) run(ev Events) {
+// run sends queued messages and passes received ones to the handler until the link is closed.
+func (p *Peer) run(handler Handler) {
 	go func() {
 		for {
 			select {
-			case b := <-p.out:
-				p.conn.SetWriteDeadline(time.Now().Add(writeLimit))
+			case b := <-p.outgoing:
+				p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 				if _, err := p.conn.Write(b); err != nil {
 					p.Close()
 					return
 				}
-			case <-p.end:
+			case <-p.closed:
 				return
 			}
 		}
 	}()
 	for {
-		m, err := read(p.conn)
+		m, err := readMessage(p.conn)
 		if err != nil {
 			break
 		}
 		switch {
 		case m.Kind == "ready":
-			ev.PeerReady(p)
+			handler.PeerReady(p)
 		case m.Kind == "ban" && m.Ban != nil && m.Ban.Check() == nil:
-			ev.Ban(*m.Ban)
+			handler.Ban(*m.Ban)
 		case m.Kind == "call back" && m.Ban != nil && m.Ban.Check() == nil:
-			ev.CallBack(m.Ban.ID)
-		default: // a later version may say more
+			handler.Unban(m.Ban.ID)
+		default: // unknown kinds are ignored: a later version may send more of them
 		}
 	}
 	p.Close()
-	ev.PeerGone(p)
+	handler.PeerGone(p)
 }
 
-// Start begins to carry messages with the predecessor.
-func (p *Peer) Start(ev Events) { go p.run(ev) }
+// Start begins to exchange messages with the predecessor.
+func (p *Peer) Start(handler Handler) { go p.run(handler) }
--- a/internal/lifecycle/handover/saver_test.go
+++ b/internal/lifecycle/handover/saver_test.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// A folder that cannot be written for a while loses no state: the last one is written once the folder works again, and nobody
-// has to give it anew. A newer one goes in its place at once.
-func TestSaverTriesAgain(t *testing.T) {
+// A state that cannot be written, since the folder does not exist yet, is written once the folder does, without another call of
+// Save. A newer state that arrives meanwhile is written instead.
+func TestSaverRetriesFailedWrite(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	written := func(pause time.Duration, more int) int {
+	savedBans := func(pause time.Duration, newer int) int {
 		failures := make(chan error)
 		s := newSaver(dir, pause, func(err error) { failures <- err })
-		s.Save(state(3))
+		s.Save(testState(3))
 		<-failures
-		if more > 0 {
-			s.next <- state(more)
+		if newer > 0 {
+			s.next <- testState(newer)
 			<-failures
 		}
 		if err := os.Mkdir(dir, 0o700); err != nil {
 			t.Fatal(err)
 		}
 		go func() {
-			for range failures { // of the tries in between
+			for range failures { // drops those of further attempts
 			}
 		}()
 		for {
-			if got, err := Load(dir, me); err == nil {
+			if got, err := Load(dir, testIdentity); err == nil {
 				s.Close()
 				close(failures)
 				return len(got.Roster.Bans)
 			}
 		}
 	}
-	if bans := written(time.Millisecond, 0); bans != 3 {
-		t.Errorf("%d bans", bans)
+	if bans := savedBans(time.Millisecond, 0); bans != 3 {
+		t.Errorf("the file holds %d bans, want 3", bans)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if bans := written(time.Millisecond, 5); bans != 5 {
-		t.Errorf("%d bans, where a newer state came", bans)
+	if bans := savedBans(time.Millisecond, 5); bans != 5 {
+		t.Errorf("the file holds %d bans, want the 5 of the newer state", bans)
 	}
 }
--- a/internal/lifecycle/handover/server.go
+++ b/internal/lifecycle/handover/server.go
@@ -12,95 +12,96 @@
 	"quillrail/internal/transient"
 )
 
-// Server is where the next process asks.
+// Server listens for the successor of this process.
 type Server struct {
-	ln  *net.UnixListener
-	who Who
-	ev  Events
+	listener *net.UnixListener
+	identity Identity
+	handler  Handler
 }
 
-// Listen takes the place in dir where the next process will ask, from whoever has it now. It may block for a while.
-func Listen(dir string, who Who, ev Events) (door *Server, err error) {
-	err = transient.Retry(openFor, func() (err error) {
-		door, err = listen(dir, who, ev)
+// Listen starts to listen on the socket in dir to which a successor connects. It replaces the socket of a predecessor, and blocks
+// for up to openRetryLimit while system resources are short.
+func Listen(dir string, identity Identity, handler Handler) (server *Server, err error) {
+	err = transient.Retry(openRetryLimit, func() (err error) {
+		server, err = listen(dir, identity, handler)
 		return err
 	})
-	return door, err
+	return server, err
 }
 
-func listen(dir string, who Who, ev Events) (*Server, error) {
-	path, d, err := short(dir)
+func listen(dir string, identity Identity, handler Handler) (*Server, error) {
+	path, folder, err := shortPath(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer d.Close()
-	temp := filepath.Join(path, tempName)
-	os.Remove(temp) // of a process that was killed just then
+	defer folder.Close()
+	temp := filepath.Join(path, tempSocketName)
+	os.Remove(temp) // may be left by a process that was killed before its rename
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: temp, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // the place may be the next process's by then
-	if err := os.Rename(temp, filepath.Join(path, linkName)); err != nil {
+	ln.SetUnlinkOnClose(false) // by then the path may be that of a successor's socket
+	if err := os.Rename(temp, filepath.Join(path, socketName)); err != nil {
 		ln.Close()
 		return nil, err
 	}
-	door := &Server{ln: ln, who: who, ev: ev}
-	go door.accept()
-	return door, nil
+	server := &Server{listener: ln, identity: identity, handler: handler}
+	go server.accept()
+	return server, nil
 }
 
-// Close stops listening. A link that is up stays.
-func (d *Server) Close() { d.ln.Close() }
+// Close stops listening. Established links stay open.
+func (s *Server) Close() { s.listener.Close() }
 
-func (d *Server) accept() {
+func (s *Server) accept() {
 	for {
-		conn, err := d.ln.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // for want of descriptors
+			time.Sleep(10 * time.Millisecond) // accepting fails while no descriptors are free
 			continue
 		}
-		d.serve(conn) // one at a time, each for a bounded time
+		s.serve(conn) // handles one successor at a time; its deadlines bound how long
 	}
 }
 
-func (d *Server) serve(conn *net.UnixConn) {
+func (s *Server) serve(conn *net.UnixConn) {
 	p := newPeer(conn)
-	conn.SetDeadline(time.Now().Add(helloLimit))
-	if err := d.offer(conn); err != nil {
-		if b, err := frame(message{Kind: "no", Why: err.Error()}); err == nil {
+	conn.SetDeadline(time.Now().Add(helloTimeout))
+	if err := s.offer(conn); err != nil {
+		if b, err := encodeFrame(message{Kind: "no", Why: err.Error()}); err == nil {
 			conn.Write(b)
 		}
 		p.Close()
 		return
 	}
 	conn.SetDeadline(time.Time{})
-	d.ev.Taken(p)
-	go p.run(d.ev)
+	s.handler.HandedOver(p)
+	go p.run(s.handler)
 }
 
-func (d *Server) offer(conn *net.UnixConn) error {
-	m, err := read(conn)
+func (s *Server) offer(conn *net.UnixConn) error {
+	m, err := readMessage(conn)
 	switch {
 	case err != nil:
 		return err
-	case m.Kind != "hello" || m.Who == nil:
+	case m.Kind != "hello" || m.Identity == nil:
 		return errors.New("no hello")
-	case *m.Who != d.who:
-		return fmt.Errorf("this is %s at %s", d.who.Name, d.who.Listen)
+	case *m.Identity != s.identity:
+		return fmt.Errorf("this is %s at %s", s.identity.Name, s.identity.Listen)
 	}
-	ln, state, err := d.ev.Offer()
+	ln, state, err := s.handler.Offer()
 	if err != nil {
 		return err
 	}
-	state.Version, state.Who = version, d.who
-	b, err := frame(message{Kind: "state", State: &state})
-	if err != nil { // the bans must not be lost with what merely helps
+	state.Version, state.Identity = stateVersion, s.identity
+	b, err := encodeFrame(message{Kind: "state", State: &state})
+	if err != nil { // too large: send the bans, which must not be lost, without the module's memory, which is only helpful
 		state.Module = nil
-		if b, err = frame(message{Kind: "state", State: &state}); err != nil {
+		if b, err = encodeFrame(message{Kind: "state", State: &state}); err != nil {
 			return err
 		}
 	}
@@ -108,14 +109,14 @@
 	if err != nil {
 		return err
 	}
-	var sent error
+	var sendErr error
 	if err := raw.Control(func(fd uintptr) {
-		_, _, sent = conn.WriteMsgUnix(b[:4], syscall.UnixRights(int(fd)), nil)
+		_, _, sendErr = conn.WriteMsgUnix(b[:4], syscall.UnixRights(int(fd)), nil)
 	}); err != nil {
 		return err
 	}
-	if sent != nil {
-		return sent
+	if sendErr != nil {
+		return sendErr
 	}
 	_, err = conn.Write(b[4:])
 	return err
--- a/internal/lifecycle/handover/state.go
+++ b/internal/lifecycle/handover/state.go
@@ -1,5 +1,5 @@
-// Package handover hands on from one process of a gateway to the next, during an upgrade under load: the listening
-// socket and what must not be forgotten.
+// Package handover passes the listening socket and the state that must survive from one process of a gateway to its
+// successor, during an upgrade under load. State also survives a restart, in a file.
 package handover
 
 import (
@@ -17,63 +17,63 @@
 )
 
 const (
-	version  = 1
-	maxState = 4 << 20 // bytes, in the file and on the link
+	stateVersion  = 1
+	maxStateBytes = 4 << 20 // bound of the state file and of each message on the link
 )
 
-// Who says whose state it is: one that another gateway has left is of no use.
-type Who struct {
+// Identity names the gateway that a state belongs to. The state of another gateway must not be used.
+type Identity struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 }
 
-// State is what is handed on.
+// State is what a process passes to its successor.
 type State struct {
 	Version int `json:"version"`
-	Who
+	Identity
 	Roster roster.Saved     `json:"roster"`
-	Module *decide.Snapshot `json:"module,omitempty"` // only over the link: in a file it would be old
-	Agreed []byte           `json:"agreed,omitempty"` // what the fleet has agreed, likewise
+	Module *decide.Snapshot `json:"module,omitempty"` // sent over the link only: in the file it would be stale
+	Agreed []byte           `json:"agreed,omitempty"` // what the fleet has agreed; sent over the link only, too
 }
 
-// ErrNone says that nothing was handed on.
-var ErrNone = errors.New("nothing was handed on")
+// ErrNoPredecessor means that no running process answers and no state file exists, so there is nothing to take over.
+var ErrNoPredecessor = errors.New("no predecessor process and no state file found")
 
-// decode reads a state and checks that it may be used by who.
-func decode(text []byte, who Who) (State, error) {
+// decode parses a state and checks that it belongs to the gateway with this identity.
+func decode(text []byte, identity Identity) (State, error) {
 	var s State
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&s); err != nil {
-		return State{}, fmt.Errorf("torn or not a state: %w", err)
+		return State{}, fmt.Errorf("state is truncated or invalid: %w", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return State{}, errors.New("more than one state")
+		return State{}, errors.New("unexpected data after the state")
 	}
-	return s, s.check(who)
+	return s, s.check(identity)
 }
 
-func (s *State) check(who Who) error {
+func (s *State) check(identity Identity) error {
 	switch {
-	case s.Version != version:
-		return fmt.Errorf("version %d, not %d", s.Version, version)
-	case s.Who != who:
-		return fmt.Errorf("state of %s at %s", s.Name, s.Listen)
+	case s.Version != stateVersion:
+		return fmt.Errorf("state has version %d, expected %d", s.Version, stateVersion)
+	case s.Identity != identity:
+		return fmt.Errorf("state is of gateway %s at %s, expected %s at %s", s.Name, s.Listen, identity.Name, identity.Listen)
 	}
 	return s.Roster.Check()
 }
 
-func fileOf(dir string) string { return filepath.Join(dir, "quillrail-state.json") }
+func statePath(dir string) string { return filepath.Join(dir, "quillrail-state.json") }
 
-// Save writes the state into dir, whole or not at all.
+// Save writes the state file in dir atomically: a reader finds the old state or the new one.
 func Save(dir string, s State) error {
-	s.Version = version
+	s.Version = stateVersion
 	text, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	if len(text) > maxState {
-		return fmt.Errorf("a state of %d bytes", len(text))
+	if len(text) > maxStateBytes {
+		return fmt.Errorf("state has %d bytes, at most %d are allowed", len(text), maxStateBytes)
 	}
 	f, err := os.CreateTemp(dir, "quillrail-state-*")
 	if err != nil {
@@ -84,7 +84,7 @@
 		err = err2
 	}
 	if err == nil {
-		err = os.Rename(f.Name(), fileOf(dir))
+		err = os.Rename(f.Name(), statePath(dir))
 	}
 	if err != nil {
 		os.Remove(f.Name())
@@ -92,38 +92,39 @@
 	return err
 }
 
-// Load reads the state that dir holds for who. ErrNone says that there is none.
-func Load(dir string, who Who) (State, error) {
-	f, err := os.Open(fileOf(dir))
+// Load reads the state file in dir and checks that it belongs to the gateway with this identity. It returns ErrNoPredecessor if
+// the file does not exist.
+func Load(dir string, identity Identity) (State, error) {
+	f, err := os.Open(statePath(dir))
 	if errors.Is(err, os.ErrNotExist) {
-		return State{}, ErrNone
+		return State{}, ErrNoPredecessor
 	}
 	if err != nil {
 		return State{}, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxState+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxStateBytes+1))
 	switch {
 	case err != nil:
 		return State{}, err
-	case len(text) > maxState:
-		return State{}, fmt.Errorf("a state of more than %d bytes", maxState)
+	case len(text) > maxStateBytes:
+		return State{}, fmt.Errorf("state file has more than %d bytes", maxStateBytes)
 	}
-	return decode(text, who)
+	return decode(text, identity)
 }
 
-// Saver writes states to the file on a goroutine of its own: the newest, as soon as the one before is written.
+// Saver writes states to the state file on its own goroutine. A state is skipped if a newer one arrives before its write begins.
 type Saver struct {
 	next chan State
 	done chan struct{}
 }
 
-// saveAgain is the pause after a state that could not be written.
-const saveAgain = time.Second
+// saveRetryDelay is the time between two attempts to write a state.
+const saveRetryDelay = time.Second
 
-// NewSaver returns a Saver for dir; failed is told of what could not be written, on the Saver's goroutine. It is written again,
-// unless a newer one has come, until that succeeds or the Saver is closed.
-func NewSaver(dir string, failed func(error)) *Saver { return newSaver(dir, saveAgain, failed) }
+// NewSaver returns a Saver for dir. After a write that fails it calls failed on the Saver's goroutine, then writes again, the newest
+// state by then, until a write succeeds or the Saver is closed.
+func NewSaver(dir string, failed func(error)) *Saver { return newSaver(dir, saveRetryDelay, failed) }
 
 func newSaver(dir string, pause time.Duration, failed func(error)) *Saver {
 	s := &Saver{next: make(chan State, 1), done: make(chan struct{})}
@@ -154,16 +155,16 @@
 	}
 }
 
-// Save hands over a state and never waits. It must not be called from two goroutines at once.
+// Save queues a state and never blocks. It must not be called from two goroutines at once.
 func (s *Saver) Save(state State) {
 	select {
-	case <-s.next: // an older one that nobody needs any more
+	case <-s.next: // drops an older state that is not written yet
 	default:
 	}
 	s.next <- state
 }
 
-// Close waits until the last state is written.
+// Close waits until the last state is written. A write that fails is not repeated any more.
 func (s *Saver) Close() {
 	close(s.next)
 	<-s.done
--- a/internal/lifecycle/handover/take.go
+++ b/internal/lifecycle/handover/take.go
@@ -13,19 +13,19 @@
 	"quillrail/internal/transient"
 )
 
-// Take asks the process that serves for its listening socket and its state. ErrNone says that nobody answers. On the
-// Peer Start has to be called.
-func Take(dir string, who Who) (*Peer, net.Listener, State, error) {
+// TakeOver requests the listening socket and the state of the process that serves this gateway now. It returns ErrNoPredecessor if
+// no process listens in dir. The caller must call Start on the returned Peer.
+func TakeOver(dir string, identity Identity) (*Peer, net.Listener, State, error) {
 	fail := func(err error) (*Peer, net.Listener, State, error) { return nil, nil, State{}, err }
 	var conn *net.UnixConn
-	err := transient.Retry(openFor, func() (err error) {
+	err := transient.Retry(openRetryLimit, func() (err error) {
 		conn, err = dial(dir)
 		return err
 	})
 	if err != nil {
 		return fail(err)
 	}
-	ln, state, err := ask(conn, who)
+	ln, state, err := requestState(conn, identity)
 	if err != nil {
 		conn.Close()
 		return fail(err)
@@ -33,26 +33,26 @@
 	return newPeer(conn), ln, state, nil
 }
 
-// dial connects to the process that serves.
+// dial connects to the process that serves this gateway now.
 func dial(dir string) (*net.UnixConn, error) {
-	path, d, err := short(dir)
+	path, folder, err := shortPath(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer d.Close()
-	conn, err := net.DialTimeout("unix", filepath.Join(path, linkName), helloLimit)
+	defer folder.Close()
+	conn, err := net.DialTimeout("unix", filepath.Join(path, socketName), helloTimeout)
 	switch {
 	case errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED):
-		return nil, ErrNone
+		return nil, ErrNoPredecessor
 	case err != nil:
 		return nil, err
 	}
 	return conn.(*net.UnixConn), nil
 }
 
-func ask(conn *net.UnixConn, who Who) (net.Listener, State, error) {
-	conn.SetDeadline(time.Now().Add(helloLimit))
-	b, err := frame(message{Kind: "hello", Who: &who})
+func requestState(conn *net.UnixConn, identity Identity) (net.Listener, State, error) {
+	conn.SetDeadline(time.Now().Add(helloTimeout))
+	b, err := encodeFrame(message{Kind: "hello", Identity: &identity})
 	if err != nil {
 		return nil, State{}, err
 	}
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, State{}, err
 	}
-	file, err := descriptor(oob[:oobn])
+	file, err := receivedFile(oob[:oobn])
 	if file != nil {
 		defer file.Close()
 	}
@@ -75,25 +75,25 @@
 	if _, err := io.ReadFull(conn, head[n:]); err != nil {
 		return nil, State{}, err
 	}
-	m, err := readRest(conn, head)
+	m, err := readBody(conn, head)
 	switch {
 	case err != nil:
 		return nil, State{}, err
 	case m.Kind != "state" || m.State == nil:
-		return nil, State{}, fmt.Errorf("refused: %s", m.Why)
+		return nil, State{}, fmt.Errorf("handover refused by the running process: %s", m.Why)
 	case file == nil:
-		return nil, State{}, errors.New("no socket came with the state")
+		return nil, State{}, errors.New("state arrived without the listening socket")
 	}
-	if err := m.State.check(who); err != nil {
+	if err := m.State.check(identity); err != nil {
 		return nil, State{}, err
 	}
-	ln, err := net.FileListener(file) // takes a copy
+	ln, err := net.FileListener(file) // duplicates the descriptor
 	conn.SetDeadline(time.Time{})
 	return ln, *m.State, err
 }
 
-// descriptor takes the one file that came with a message; nil if there is none.
-func descriptor(oob []byte) (*os.File, error) {
+// receivedFile returns the file that was passed with a message, nil if there is none. Any further ones are closed.
+func receivedFile(oob []byte) (*os.File, error) {
 	if len(oob) == 0 {
 		return nil, nil
 	}
--- a/internal/lifecycle/isolation_test.go
+++ b/internal/lifecycle/isolation_test.go
@@ -17,8 +17,8 @@
 	"quillrail/internal/core"
 )
 
-// started runs a gateway of this configuration on loopback until the test ends.
-func started(t *testing.T, conf string, log *zap.Logger) *Gateway {
+// startLoopback runs a gateway with this configuration on loopback until the test ends.
+func startLoopback(t *testing.T, conf string, log *zap.Logger) *Gateway {
 	t.Helper()
 	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:1").Replace(conf)))
 	if err != nil {
@@ -29,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	runTurns(t, g)
+	runLoop(t, g)
 	return g
 }
 
-// status is the answer of a gateway to a call of a class.
-func status(t *testing.T, g *Gateway, class string) int {
+// callStatus makes a call of a class and returns the HTTP status of the answer.
+func callStatus(t *testing.T, g *Gateway, class string) int {
 	t.Helper()
 	conn, err := net.Dial("tcp", g.net.Addr())
 	if err != nil {
@@ -50,57 +50,58 @@
 	return resp.StatusCode
 }
 
-// Two gateways of different settings in one process know nothing of each other's classes and limits.
+// Two gateways with different settings in one process each know only their own classes and limits.
 func TestTwoGatewaysShareNothing(t *testing.T) {
-	small := started(t, text, zap.NewNop())
-	large := started(t, strings.NewReplacer(`"name":"read"`, `"name":"write"`, `"sockets":1024`, `"sockets":5000`).Replace(text), zap.NewNop())
+	small := startLoopback(t, configText, zap.NewNop())
+	large := startLoopback(t, strings.NewReplacer(`"name":"read"`, `"name":"write"`, `"sockets":1024`, `"sockets":5000`).
+		Replace(configText), zap.NewNop())
 	for _, c := range []struct {
 		g            *Gateway
 		own, foreign string
 	}{{small, "read", "write"}, {large, "write", "read"}} {
-		if got := status(t, c.g, c.foreign); got != http.StatusBadRequest {
+		if got := callStatus(t, c.g, c.foreign); got != http.StatusBadRequest {
 			t.Errorf("a call of the other gateway's class %s is answered %d", c.foreign, got)
 		}
-		if got := status(t, c.g, c.own); got == http.StatusBadRequest {
+		if got := callStatus(t, c.g, c.own); got == http.StatusBadRequest {
 			t.Errorf("a call of the gateway's own class %s is answered %d", c.own, got)
 		}
 	}
 }
 
-// A configuration that is read again moves the list of workers and changes nothing else; one with a field that can't be used
-// changes nothing, and the log names the field and its value.
-func TestReloadMovesDiscoveryAndNothingElse(t *testing.T) {
+// Reloading a configuration changes the address of the bulletin and nothing else. One with an invalid field changes nothing, and the log
+// names the field and its value.
+func TestReloadChangesOnlyBulletinAddress(t *testing.T) {
 	entries, seen := observer.New(zapcore.InfoLevel)
-	g := started(t, text, zap.New(entries))
+	g := startLoopback(t, configText, zap.New(entries))
 	path := filepath.Join(t.TempDir(), "config.json")
 	t.Setenv("NODE_CONFIG", path)
 	reload := func(pairs ...string) {
 		t.Helper()
 		pairs = append(pairs, "%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:1")
-		if err := os.WriteFile(path, []byte(strings.NewReplacer(pairs...).Replace(text)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.NewReplacer(pairs...).Replace(configText)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, err := nodeConfig()
+		c, err := readNodeConfig()
 		done := make(chan struct{})
 		g.loop.Post(func() { g.reload(c, err); close(done) })
 		<-done
 	}
 	reload("%BULLETIN%", "127.0.0.1:2", `"name":"read"`, `"name":"write"`, `"sockets":1024`, `"sockets":64`)
 	if got := seen.FilterMessage("bulletin moved").Len(); got != 1 {
-		t.Errorf("the list was moved %d times", got)
+		t.Errorf("the bulletin was moved %d times, want once", got)
 	}
-	if got := status(t, g, "read"); got == http.StatusBadRequest {
-		t.Errorf("a class of the settings at the start is answered %d after the reload", got)
+	if got := callStatus(t, g, "read"); got == http.StatusBadRequest {
+		t.Errorf("a call of a class of the initial settings is answered %d after the reload", got)
 	}
-	if got := status(t, g, "write"); got != http.StatusBadRequest {
-		t.Errorf("a class of the new settings is answered %d", got)
+	if got := callStatus(t, g, "write"); got != http.StatusBadRequest {
+		t.Errorf("a call of a class of the reloaded settings is answered %d, want %d", got, http.StatusBadRequest)
 	}
 	reload("%BULLETIN%", "127.0.0.1:3", `"deadline-s":4`, `"deadline-s":-4`)
 	refused := seen.FilterMessage("configuration not reloaded").All()
 	if len(refused) != 1 || !strings.Contains(fmt.Sprint(refused[0].ContextMap()["error"]), "classes[0].deadline-s is -4,") {
-		t.Errorf("logged %v", refused)
+		t.Errorf("logged refusals %v, want one that names the field and its value", refused)
 	}
 	if got := seen.FilterMessage("bulletin moved").Len(); got != 1 {
-		t.Error("the list was moved by a configuration that can't be used")
+		t.Error("the bulletin was moved by an invalid configuration")
 	}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -15,7 +15,7 @@
 	"quillrail/internal/wire/workerlink"
 )
 
-const text = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+const configText = `{"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"bulletin":"%BULLETIN%",
  "known":{"no":3,"items":[{"no":3,"roster":{"revision":1,"complete":true,"members":[{"id":"s-00c41f7a",
  "host_port":"%WORKER%","locality":"x","flavor":"std","cell":1,"phase":"active","size":1,"up_since_ms":0}]}}]},
@@ -26,9 +26,9 @@
  "cancelling":true,"conn-idle-s":30,"connect-timeout-s":0.25,"max-retry-after-s":2,"parallel-tries":true,
  "retry-after":true,"streams-per-conn":32,"try-limit":5}}}`
 
-// Every configuration that can't be used is told in one line, and nothing is started.
-func TestBadConfiguration(t *testing.T) {
-	good := strings.NewReplacer("%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:2").Replace(text)
+// Each invalid configuration is rejected with an error of one line.
+func TestInvalidConfigurationIsRejected(t *testing.T) {
+	good := strings.NewReplacer("%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:2").Replace(configText)
 	dir := t.TempDir()
 	side := filepath.Join(dir, "mqtt.toml")
 	read := func(conf, mqtt string) error {
@@ -50,54 +50,54 @@
 		`"idempotent"`: `"odd"`, `"conn-idle-s":30`: `"conn-idle-s":0`, `"streams-per-conn":32`: `"streams-per-conn":0`,
 		`"locality":"x"`: `"locality":"q"`} {
 		if err := read(strings.Replace(good, old, new, 1), ""); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", new, err)
+			t.Errorf("configuration with %s: error %v, want one line", new, err)
 		}
 	}
-	on := "enabled = true\n[calls]\nbroker = \"%s\"\nclient_id = \"c\"\nlisten = [\"t\"]\nsession_expiry_s = 9\nkeep_alive_s = %d\n"
-	if err := read(good, fmt.Sprintf(on, "127.0.0.1:9", 9)); err != nil {
+	mqttFile := "enabled = true\n[calls]\nbroker = \"%s\"\nclient_id = \"c\"\nlisten = [\"t\"]\nsession_expiry_s = 9\nkeep_alive_s = %d\n"
+	if err := read(good, fmt.Sprintf(mqttFile, "127.0.0.1:9", 9)); err != nil {
 		t.Error(err)
 	}
-	for _, bad := range []string{"x = 1", "enabled = 3", fmt.Sprintf(on, "10.0.0.1:9", 9), fmt.Sprintf(on, "localhost", 9),
-		fmt.Sprintf(on, "127.0.0.1:9", 0), "[export]\nenabled = true\ncollector = \"1.1.1.1:1\"\nqueue = 1",
+	for _, bad := range []string{"x = 1", "enabled = 3", fmt.Sprintf(mqttFile, "10.0.0.1:9", 9), fmt.Sprintf(mqttFile, "localhost", 9),
+		fmt.Sprintf(mqttFile, "127.0.0.1:9", 0), "[export]\nenabled = true\ncollector = \"1.1.1.1:1\"\nqueue = 1",
 		"[export]\nenabled = true\ncollector = \"127.0.0.1:1\"\nqueue = 0",
 		"enabled = true\n[workers]\nbroker = \"127.0.0.1:1\"\nclient_id = \"c\"\nreplies = \"a/#\"\nkeep_alive_s = 1"} {
 		if err := read(good, bad); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v", bad, err)
+			t.Errorf("extensions %q: error %v, want one line", bad, err)
 		}
 	}
 	t.Setenv("NODE_CONFIG", filepath.Join(dir, "none"))
 	if _, err := FromEnv(side, "none"); err == nil {
-		t.Error("a file that does not exist was read")
+		t.Error("a configuration file that does not exist gave no error")
 	}
 }
 
-// The bulletin knows nothing of the workers that are reached by MQTT: its whole lists must not remove them, and
-// its link must not be asked to connect to them.
+// The bulletin does not list the workers that are reached by MQTT. Its complete lists must not remove them, and the pool of direct
+// connections must not connect to them.
 func TestBulletinDoesNotRemoveMQTTWorkers(t *testing.T) {
-	w := wiretest.New(t)
+	world := wiretest.New(t)
 	site := wiretest.Site()
-	var told []string
-	tell := func(whole bool, members []core.Member) {
+	var updates []string
+	record := func(whole bool, members []core.Member) {
 		for _, m := range members {
-			told = append(told, fmt.Sprint(m.Name, whole))
+			updates = append(updates, fmt.Sprint(m.Name, whole))
 		}
 	}
-	l := mqtt.NewLink(w.Loop, w, mqtt.Options{Broker: "b"}, "r", []mqtt.Worker{{Name: "mqtt-1", Topic: "t", StatusTopic: "s"}},
-		1, tell, w.Log())
-	f := &bothKinds{Pool: workerlink.New(w.Loop, w, site, 9, w.Log()), mqtt: l}
-	w.Listen("b", func(c *wiretest.Conn) sock.Handler {
+	link := mqtt.NewLink(world.Loop, world, mqtt.Options{Broker: "b"}, "r", []mqtt.Worker{{Name: "mqtt-1", Topic: "t", StatusTopic: "s"}},
+		1, record, world.Log())
+	router := &workerRouter{Pool: workerlink.New(world.Loop, world, site, 9, world.Log()), mqtt: link}
+	world.Listen("b", func(c *wiretest.Conn) sock.Handler {
 		c.Write(mqtt.Append(nil, mqtt.Connack, 0, []byte{0, 0, 0}))
 		c.Write(mqtt.AppendPublish(nil, &mqtt.Message{Topic: "s", Payload: []byte("ready")}, 0, 1))
 		return &wiretest.Peer{Conn: c}
 	})
-	l.Connect()
-	w.Run()
-	f.bulletin(tell)(true, []core.Member{{Addr: "a:1", Host: decide.Host{Name: "s-1"}}})
-	if got := strings.Join(told, " "); got != "mqtt-1false s-1true mqtt-1true" {
-		t.Errorf("told %s", got)
+	link.Connect()
+	world.Run()
+	router.addMQTTMembers(record)(true, []core.Member{{Addr: "a:1", Host: decide.Host{Name: "s-1"}}})
+	if got := strings.Join(updates, " "); got != "mqtt-1false s-1true mqtt-1true" {
+		t.Errorf("list updates were %s, want the MQTT worker first alone, then in the complete list", got)
 	}
-	f.ApplyList(true, []core.Member{{Addr: "t", Host: decide.Host{Name: "mqtt-1"}}})
-	if f.link("mqtt-1") != core.Workers(l) || f.link("s-1") != core.Workers(f.Pool) {
-		t.Error("a worker is sent to on the wrong link")
+	router.ApplyList(true, []core.Member{{Addr: "t", Host: decide.Host{Name: "mqtt-1"}}})
+	if router.workersFor("mqtt-1") != core.Workers(link) || router.workersFor("s-1") != core.Workers(router.Pool) {
+		t.Error("a worker is mapped to the wrong link")
 	}
 }
--- a/internal/lifecycle/figures.go
+++ b/internal/lifecycle/metrics.go
@@ -8,40 +8,40 @@
 	"quillrail/internal/core"
 )
 
-// Stat words the figures in the form of statsd.
-func (d *desk) Stat() string {
+// Metrics returns the gateway's metrics as text in the statsd format, a line each.
+func (a *operatorAPI) Metrics() string {
 	var b strings.Builder
 	var f core.Metrics
-	if d.core != nil {
-		f = d.core.Metrics()
+	if a.core != nil {
+		f = a.core.Metrics()
 	}
 	count := func(name string, n uint64) { fmt.Fprintf(&b, "svc.%s:%d|c\n", name, n) }
 	gauge := func(name string, n int) { fmt.Fprintf(&b, "svc.%s:%d|g\n", name, n) }
 	for i, c := range f.Classes {
-		class := "responses." + d.conf.Site.Classes[i] + "."
+		class := "responses." + a.conf.Site.Classes[i] + "."
 		count(class+"ok", c.OK)
 		count(class+"shed", c.Shed)
 		count(class+"errors", c.Errors)
 	}
 	count("tries", f.Attempts)
-	d.trace(count)
+	a.writeAttemptMetrics(count)
 	gauge("active", f.Active)
 	gauge("pool_size", f.PoolSize)
 	gauge("pool_ejected", f.PoolEjected)
-	count("config_applied", d.applied)
-	count("config_rejected", d.rejected)
-	if d.node != nil {
-		(*Gateway)(d).fleetStat(gauge)
+	count("config_applied", a.applied)
+	count("config_rejected", a.rejected)
+	if a.node != nil {
+		(*Gateway)(a).writeFleetMetrics(gauge)
 	}
 	return b.String()
 }
 
-// trace words how attempts ended and why requests were given up.
-func (d *desk) trace(count func(name string, n uint64)) {
-	if d.core == nil {
+// writeAttemptMetrics reports how many attempts ended with each outcome, and how many requests were given up for each reason.
+func (a *operatorAPI) writeAttemptMetrics(count func(name string, n uint64)) {
+	if a.core == nil {
 		return
 	}
-	trace := d.core.OutcomeCounts()
+	trace := a.core.OutcomeCounts()
 	for outcome, n := range trace.Attempts {
 		count("attempts."+decide.Outcome(outcome).String(), n)
 	}
--- a/internal/lifecycle/never_twice_test.go
+++ b/internal/lifecycle/never_twice_test.go
@@ -18,103 +18,105 @@
 	"quillrail/internal/wire/workerlink"
 )
 
-// plant is the workers of two halls, played over the lines they speak, with faults drawn from a seed. It counts what
-// runs, by the request as its client knows it: the body is the same for all of its tries.
-type plant struct {
+// workerSim simulates the workers of two halls at the level of their line protocol, with faults drawn from a seed. It counts how often
+// each request runs, by its body, which is the same in all tries of a client.
+type workerSim struct {
 	*wiretest.World
 	rng   *rand.Rand
 	runs  map[string]int
-	keys  map[string]time.Duration // of keyed requests by hall, when one last ran
+	keys  map[string]time.Duration // when a request with a key last ran, by hall and key
 	conns map[string][]*wiretest.Conn
 }
 
-type plantConn struct {
-	p    *plant
-	c    *wiretest.Conn
-	hall string
-	in   []byte
+// simConn is the worker's side of one connection.
+type simConn struct {
+	sim   *workerSim
+	conn  *wiretest.Conn
+	hall  string
+	input []byte
 }
 
-func (h *plantConn) Closed(error) {}
-func (h *plantConn) Data(b []byte) error {
-	for h.in = append(h.in, b...); ; {
-		line, rest, ok := bytes.Cut(h.in, []byte("\r\n"))
+func (h *simConn) Closed(error) {}
+func (h *simConn) Data(b []byte) error {
+	for h.input = append(h.input, b...); ; {
+		line, rest, ok := bytes.Cut(h.input, []byte("\r\n"))
 		words := strings.Fields(string(line))
 		if !ok {
 			return nil
 		}
 		if len(words) != 4 || words[0] != "CALL" {
-			h.in = rest
+			h.input = rest
 			continue
 		}
 		n, _ := strconv.Atoi(words[3])
 		if len(rest) < n+2 {
 			return nil
 		}
-		h.in = rest[n+2:]
+		h.input = rest[n+2:]
 		h.call(words[1], words[2], string(rest[:n]))
 	}
 }
 
-// call draws what becomes of a call. As the workers of a hall do, it drops the repeat of a key for 8 s.
-func (h *plantConn) call(id, fields, body string) {
-	p := h.p
-	say := func(word string) { h.c.Write([]byte(id + " " + word + " - 2\r\nok\r\n")) }
-	fate := p.rng.IntN(20)
-	if word := map[int]string{0: "BUSY", 1: "MISS", 2: "VOID"}[fate]; word != "" {
-		say(word) // it never ran
+// call draws how a call ends. Like the workers of a hall, it does not run a call again whose key ran within the last 8 s.
+func (h *simConn) call(id, fields, body string) {
+	sim := h.sim
+	reply := func(outcome string) { h.conn.Write([]byte(id + " " + outcome + " - 2\r\nok\r\n")) }
+	draw := sim.rng.IntN(20)
+	if outcome := map[int]string{0: "BUSY", 1: "MISS", 2: "VOID"}[draw]; outcome != "" {
+		reply(outcome) // the call did not run
 		return
 	}
 	key := ""
 	if _, uniq, ok := strings.Cut(fields, "uniq="); ok {
 		key = h.hall + uniq
 	}
-	if at, ok := p.keys[key]; key == "" || !ok || p.Now()-at >= 8*time.Second {
-		p.runs[body]++
-		p.keys[key] = p.Now()
+	if at, ok := sim.keys[key]; key == "" || !ok || sim.Now()-at >= 8*time.Second {
+		sim.runs[body]++
+		sim.keys[key] = sim.Now()
 	}
-	switch fate {
+	switch draw {
 	case 3:
-		say("ERR")
-	case 4, 5: // nothing more is heard
+		reply("ERR")
+	case 4, 5: // the worker never answers
 	case 6:
-		h.c.Close()
+		h.conn.Close()
 	case 7:
-		h.c.Write([]byte(id + " OK - 2\r\no"))
+		h.conn.Write([]byte(id + " OK - 2\r\no"))
 	case 8:
-		p.Loop.After(time.Duration(p.rng.IntN(2500))*time.Millisecond, func() { say("OK") })
+		sim.Loop.After(time.Duration(sim.rng.IntN(2500))*time.Millisecond, func() { reply("OK") })
 	case 9:
-		say("OK")
-		say("OK")
+		reply("OK")
+		reply("OK")
 	default:
-		p.Loop.After(time.Duration(p.rng.IntN(60))*time.Millisecond, func() { say("OK") })
+		sim.Loop.After(time.Duration(sim.rng.IntN(60))*time.Millisecond, func() { reply("OK") })
 	}
 }
 
-// seek is a client: it comes again, under a new id, as long as it is told that this is harmless.
-type seek struct {
+// testClient is a client that retries, with a new request id, after an answer which states that this is harmless.
+type testClient struct {
 	wiretest.Peer
 	body    string
-	answers int // whole answers to tries
-	left    bool
+	answers int // number of answered tries
+	done    bool
 }
 
-// gateway starts a gateway in memory that dials the six workers of the plant by net.
-func (p *plant) gateway(site *settings.Site, seed uint64, net sock.Dialer, observe core.Observer) (*httpfront.Front, *core.Core, []core.Member) {
-	front := httpfront.New(p.Loop, site, 4096, 1<<20, p.Log())
-	pool := workerlink.New(p.Loop, net, site, 64, p.Log())
-	c, err := core.New(p.Loop, site.Decide, seed, pool, observe, p.Log())
+// startGateway starts a gateway in memory that connects to six simulated workers through net.
+func (s *workerSim) startGateway(site *settings.Site, seed uint64, net sock.Dialer, observe core.Observer) (*httpfront.Front,
+	*core.Core, []core.Member) {
+	front := httpfront.New(s.Loop, site, 4096, 1<<20, s.Log())
+	pool := workerlink.New(s.Loop, net, site, 64, s.Log())
+	c, err := core.New(s.Loop, site.Decide, seed, pool, observe, s.Log())
 	if err != nil {
-		p.T.Fatal(err)
+		s.T.Fatal(err)
 	}
 	pool.SetReceiver(c)
 	front.Serve(c)
 	var list []core.Member
 	for i := range 6 {
 		name, hall := fmt.Sprint("w", i), fmt.Sprint("hall", i%2, " ")
-		p.Listen(name, func(c *wiretest.Conn) sock.Handler {
-			p.conns[name] = append(p.conns[name], c)
-			return &plantConn{p: p, c: c, hall: hall}
+		s.Listen(name, func(c *wiretest.Conn) sock.Handler {
+			s.conns[name] = append(s.conns[name], c)
+			return &simConn{sim: s, conn: c, hall: hall}
 		})
 		list = append(list, core.Member{Addr: name, Host: decide.Host{Name: name, Zone: i % 2}})
 	}
@@ -122,96 +124,96 @@
 	return front, c, list
 }
 
-// playHTTP plays requests of all three effects through a gateway between such workers, and returns how often each ran
-// and how many tries were not answered exactly once.
-func playHTTP(t *testing.T, seed uint64, unsafe decide.Effect) (p *plant, odd int) {
-	w := wiretest.New(t)
-	p = &plant{World: w, rng: rand.New(rand.NewPCG(seed, 3)), runs: map[string]int{}, keys: map[string]time.Duration{},
+// runHTTPScenario sends requests of three classes through a gateway to the simulated workers: safe, keyed and, with the given effect,
+// those that must not run twice. It returns the workers' counts and how many tries were not answered exactly once.
+func runHTTPScenario(t *testing.T, seed uint64, unsafe decide.Effect) (sim *workerSim, notAnsweredOnce int) {
+	world := wiretest.New(t)
+	sim = &workerSim{World: world, rng: rand.New(rand.NewPCG(seed, 3)), runs: map[string]int{}, keys: map[string]time.Duration{},
 		conns: map[string][]*wiretest.Conn{}}
 	site := wiretest.Site()
 	site.Classes, site.StreamsPerConn = append(site.Classes, "once"), 32
 	site.Decide.Classes = append(site.Decide.Classes, decide.Class{Aim: time.Second, Deadline: 4 * time.Second, Worth: 5, Effect: unsafe})
-	front, c, list := p.gateway(site, seed, w, nil)
-	var clients []*seek
+	front, gatewayCore, list := sim.startGateway(site, seed, world, nil)
+	var clients []*testClient
 	tries := 0
-	try := func(s *seek) {
+	try := func(s *testClient) {
 		tries++
-		s.Conn, _ = w.Pair(s, func(c *wiretest.Conn) sock.Handler { return front.Accept(c) })
+		s.Conn, _ = world.Pair(s, func(c *wiretest.Conn) sock.Handler { return front.Accept(c) })
 		class := map[byte]string{'r': "read", 'c': "command", 'o': "once"}[s.body[0]]
 		fmt.Fprintf(s, "POST /do/%016x/call HTTP/1.1\r\nHost: x\r\nX-Class: %s\r\nReq-Id: %016x\r\nReq-Wait-Ms: 2000\r\nReq-Owner: a\r\n"+
-			"Req-Token: %s\r\nContent-Length: %d\r\n\r\n%s", p.rng.IntN(5), class, tries, s.body, len(s.body), s.body)
+			"Req-Token: %s\r\nContent-Length: %d\r\n\r\n%s", sim.rng.IntN(5), class, tries, s.body, len(s.body), s.body)
 	}
 	for n := range 400 {
-		s := &seek{body: fmt.Sprint(string("rcoo"[p.rng.IntN(4)]), n)}
+		s := &testClient{body: fmt.Sprint(string("rcoo"[sim.rng.IntN(4)]), n)}
 		clients = append(clients, s)
 		try(s)
-		switch k := p.rng.IntN(60); {
+		switch k := sim.rng.IntN(60); {
 		case k == 0: // a worker's connections break
-			for _, c := range p.conns[fmt.Sprint("w", p.rng.IntN(6))] {
+			for _, c := range sim.conns[fmt.Sprint("w", sim.rng.IntN(6))] {
 				c.Close()
 			}
-		case k < 4: // one leaves the list or comes back
-			m := list[p.rng.IntN(6)]
-			m.State = []decide.HostState{decide.Ready, decide.Draining, decide.Gone}[p.rng.IntN(3)]
-			c.ApplyList(false, []core.Member{m})
+		case k < 4: // a worker drains, leaves the list or returns to it
+			m := list[sim.rng.IntN(6)]
+			m.State = []decide.HostState{decide.Ready, decide.Draining, decide.Gone}[sim.rng.IntN(3)]
+			gatewayCore.ApplyList(false, []core.Member{m})
 		case k == 4: // a client leaves
-			s.left = true
-			w.Run()
+			s.done = true
+			world.Run()
 			s.Close()
 		}
-		w.Advance(time.Duration(p.rng.IntN(30)) * time.Millisecond)
+		world.Advance(time.Duration(sim.rng.IntN(30)) * time.Millisecond)
 		for _, s := range clients {
-			if got := s.Take(); !s.left && got != "" {
+			if got := s.Take(); !s.done && got != "" {
 				if s.answers++; strings.Count(got, "HTTP/1.1 ") != 1 {
-					odd++
+					notAnsweredOnce++
 				}
 				if strings.HasPrefix(got, "HTTP/1.1 503") && s.answers < 3 {
 					try(s)
 				} else {
-					s.left = true
+					s.done = true
 				}
 			}
 		}
 	}
-	w.Advance(5 * time.Second)
+	world.Advance(5 * time.Second)
 	for _, s := range clients {
-		if got := s.Take(); !s.left && strings.Count(got, "HTTP/1.1 ") != 1 {
-			odd++
+		if got := s.Take(); !s.done && strings.Count(got, "HTTP/1.1 ") != 1 {
+			notAnsweredOnce++
 		}
 	}
-	return p, odd
+	return sim, notAnsweredOnce
 }
 
-// Whatever becomes of connections, workers and clients, a request that must not run twice does not, a keyed one runs
-// once in a hall, and each try has one answer. With the guard taken out, that is with the class told as one that may be
-// repeated, the same play runs some of them twice: the test would notice.
+// Whatever happens to connections, workers and clients, a request that must not run twice does not, a request with a key runs once in
+// a hall, and each try has exactly one answer. As a check of the test, the same scenario runs without the guard, that is with a class
+// that is declared safe to repeat: then some requests do run twice.
 func TestNeverTwiceOverHTTP(t *testing.T) {
-	twice := 0
+	ranTwice := 0
 	for seed := range uint64(12) {
 		for _, effect := range []decide.Effect{decide.Unsafe, decide.Safe} {
-			p, odd := playHTTP(t, seed, effect)
-			if odd > 0 {
-				t.Errorf("seed %d: %d tries without exactly one answer", seed, odd)
+			sim, notAnsweredOnce := runHTTPScenario(t, seed, effect)
+			if notAnsweredOnce > 0 {
+				t.Errorf("seed %d: %d tries were not answered exactly once", seed, notAnsweredOnce)
 			}
 			ran := 0
-			for body, n := range p.runs {
+			for body, n := range sim.runs {
 				ran += n
 				if n < 2 || body[0] == 'r' {
 					continue
 				}
 				if body[0] == 'o' && effect == decide.Safe {
-					twice++
+					ranTwice++
 				} else {
 					t.Errorf("seed %d: request %s ran %d times", seed, body, n)
 				}
 			}
 			if ran < 100 {
-				t.Errorf("seed %d: only %d calls ran", seed, ran)
+				t.Errorf("seed %d: only %d calls ran, want at least 100", seed, ran)
 			}
 		}
 	}
-	t.Logf("figures: seeds=12 twice=0 twice_without_guard=%d", twice)
-	if twice < 12 {
-		t.Errorf("without the guard only %d requests ran twice", twice)
+	t.Logf("figures: seeds=12 twice=0 twice_without_guard=%d", ranTwice)
+	if ranTwice < 12 {
+		t.Errorf("without the guard only %d requests ran twice, want at least 12", ranTwice)
 	}
 }
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -12,83 +12,85 @@
 )
 
 var (
-	errNotReady = errors.New("not ready")
-	errEnding   = errors.New("the process is ending")
-	errWords    = errors.New("too many words")
+	errNotReady         = errors.New("not ready")
+	errEnding           = errors.New("the process is ending")
+	errTooManyArguments = errors.New("too many words")
 )
 
-// desk carries out what operators ask for at the door.
-type desk Gateway
+// operatorAPI is the Gateway as the operator listener uses it: it executes the calls of operators.
+type operatorAPI Gateway
 
-// Do carries out a call.
-func (d *desk) Do(c opfront.Call, done func(text string, err error)) {
-	g := (*Gateway)(d)
-	if !g.asks() && (c.Emergency || len(c.Options) > 0) {
-		done("", errWords)
+// Do executes an operator's call and calls done with the answer. Drains and bans need a permit of the fleet where the agreement is
+// enabled, except in emergencies.
+func (a *operatorAPI) Do(call opfront.Call, done func(text string, err error)) {
+	g := (*Gateway)(a)
+	if !g.requiresPermits() && (call.Emergency || len(call.Options) > 0) {
+		done("", errTooManyArguments)
 		return
 	}
-	switch c.Name {
+	switch call.Name {
 	case "ready":
-		done("", d.Ready())
+		done("", a.Ready())
 	case "show-stat":
-		done(d.Stat()+"EOT\n", nil)
+		done(a.Metrics()+"EOT\n", nil)
 	case "disable-server":
-		if !g.asks() || c.Emergency {
-			err := d.Disable(c.ID)
-			if err == nil && c.Emergency {
-				g.agreement.Urgent(change.Of(change.Worker, c.ID), "", by(c), c.Options["why"])
+		if !g.requiresPermits() || call.Emergency {
+			err := a.Disable(call.ID)
+			if err == nil && call.Emergency {
+				g.agreement.Urgent(change.Of(change.Worker, call.ID), "", requester(call), call.Options["why"])
 			}
 			done("", err)
 			return
 		}
-		g.askFor(c, change.Of(change.Worker, c.ID), "", done)
+		g.requestPermit(call, change.Of(change.Worker, call.ID), "", done)
 	case "enable-server":
-		d.enable(c, done)
+		a.enableServer(call, done)
 	case "drain":
-		if !g.asks() || c.Emergency {
-			err := d.Drain()
-			if c.Emergency {
-				g.agreement.Urgent(g.self(), g.conf.Name, by(c), c.Options["why"])
+		if !g.requiresPermits() || call.Emergency {
+			err := a.Drain()
+			if call.Emergency {
+				g.agreement.Urgent(g.self(), g.conf.Name, requester(call), call.Options["why"])
 			}
 			done("", err)
 			return
 		}
-		g.askFor(c, g.self(), g.conf.Name, done)
+		g.requestPermit(call, g.self(), g.conf.Name, done)
 	case "resume":
-		err := d.Resume()
-		if err == nil && g.asks() {
+		err := a.Resume()
+		if err == nil && g.requiresPermits() {
 			g.agreement.Back()
 		}
 		done("", err)
 	default:
-		g.agreedCall(c, done)
+		g.agreementCall(call, done)
 	}
 }
 
-// by is who makes a call.
-func by(c opfront.Call) string {
-	if name := c.Options["by"]; name != "" {
+// requester returns the name that a call gives in its option by.
+func requester(call opfront.Call) string {
+	if name := call.Options["by"]; name != "" {
 		return name
 	}
 	return "an operator"
 }
 
-// askFor asks for a permit to take something out.
-func (g *Gateway) askFor(c opfront.Call, t change.Thing, holder string, done func(string, error)) {
-	if t.Kind() == change.Worker && g.core != nil && !g.core.Listed(t.Name()) {
+// requestPermit requests a permit to take a worker or a gateway out of service.
+func (g *Gateway) requestPermit(call opfront.Call, subject change.Thing, holder string, done func(string, error)) {
+	if subject.Kind() == change.Worker && g.core != nil && !g.core.Listed(subject.Name()) {
 		done("", errors.New("no such worker"))
 		return
 	}
-	except, err := exception(c)
+	except, err := exceptionID(call)
 	if err != nil {
 		done("", err)
 		return
 	}
-	g.agreement.Ask(t, holder, by(c), c.Options["why"], except, false, done)
+	g.agreement.Ask(subject, holder, requester(call), call.Options["why"], except, false, done)
 }
 
-func exception(c opfront.Call) (id uint64, err error) {
-	if text := c.Options["except"]; text != "" {
+// exceptionID returns the number of the freeze exception that a call names in its option except, 0 if it names none.
+func exceptionID(call opfront.Call) (id uint64, err error) {
+	if text := call.Options["except"]; text != "" {
 		if _, err := fmt.Sscanf(text, "%d", &id); err != nil {
 			return 0, fmt.Errorf("except=%s is no number", text)
 		}
@@ -96,35 +98,37 @@
 	return id, nil
 }
 
-// enable uses a worker again: where it is out by a permit, that is given back, and all use it.
-func (d *desk) enable(c opfront.Call, done func(string, error)) {
-	g := (*Gateway)(d)
-	if g.asks() {
-		if p := g.agreement.PermitOf(change.Of(change.Worker, c.ID)); p != nil {
-			g.agreement.Return(p, by(c), done)
+// enableServer puts a worker back into service. If it is out by a permit, the permit is returned and all gateways use the worker again;
+// otherwise its ban is lifted.
+func (a *operatorAPI) enableServer(call opfront.Call, done func(string, error)) {
+	g := (*Gateway)(a)
+	if g.requiresPermits() {
+		if p := g.agreement.PermitOf(change.Of(change.Worker, call.ID)); p != nil {
+			g.agreement.Return(p, requester(call), done)
 			return
 		}
 	}
-	done("", d.Enable(c.ID))
+	done("", a.Enable(call.ID))
 }
 
-// agreedCall carries out the calls that need an agreement.
-func (g *Gateway) agreedCall(c opfront.Call, done func(string, error)) {
-	if !g.asks() {
+// agreementCall executes the calls that need the agreement part.
+func (g *Gateway) agreementCall(call opfront.Call, done func(string, error)) {
+	if !g.requiresPermits() {
 		done("", errNoAgreement)
 		return
 	}
-	switch c.Name {
+	switch call.Name {
 	case "agreed":
 		done(g.agreement.Show()+"EOT\n", nil)
 	case "wanted":
-		done(g.wanted(c.ID)+"EOT\n", nil)
+		done(g.wanted(call.ID)+"EOT\n", nil)
 	case "declare":
-		g.agreement.Declare(c.ID, c.Options, done)
+		g.agreement.Declare(call.ID, call.Options, done)
 	}
 }
 
-// wanted is what who supervises a gateway has to make of it, and of the workers if it names none.
+// wanted returns the step of a release that the supervisor of a gateway has to carry out now, empty for none. The gateway is this one
+// if the name is empty. For the name "workers" it lists the workers to restart, a line each.
 func (g *Gateway) wanted(gateway string) string {
 	if gateway == "" {
 		gateway = g.conf.Name
@@ -142,45 +146,45 @@
 	return ""
 }
 
-// Ready says whether clients are told to come.
-func (d *desk) Ready() error {
+// Ready returns nil while the gateway serves and /check answers yes, and otherwise the reason why not.
+func (a *operatorAPI) Ready() error {
 	switch {
-	case d.terminating:
+	case a.terminating:
 		return errEnding
-	case !d.front.Ready():
-		return (*Gateway)(d).phase()
+	case !a.front.Ready():
+		return (*Gateway)(a).notReadyError()
 	}
 	return nil
 }
 
-// Disable leaves a worker out, here and at the gateway's other process if there is one.
-func (d *desk) Disable(id string) error { return d.change(id, (*core.Core).Disable) }
+// Disable bans a worker at this process, at the gateway's other process if there is one, and in the fleet.
+func (a *operatorAPI) Disable(id string) error { return a.changeBan(id, (*core.Core).Disable) }
 
-// Enable uses it again.
-func (d *desk) Enable(id string) error { return d.change(id, (*core.Core).Enable) }
+// Enable lifts the ban of a worker at all of these.
+func (a *operatorAPI) Enable(id string) error { return a.changeBan(id, (*core.Core).Enable) }
 
-func (d *desk) change(id string, do func(*core.Core, string) error) error {
-	if d.core == nil {
-		return (*Gateway)(d).phase()
+func (a *operatorAPI) changeBan(id string, do func(*core.Core, string) error) error {
+	if a.core == nil {
+		return (*Gateway)(a).notReadyError()
 	}
-	err := do(d.core, id)
-	if err == nil && d.upgrade != nil {
-		d.upgrade.changed(id)
+	err := do(a.core, id)
+	if err == nil && a.upgrade != nil {
+		a.upgrade.sendBan(id)
 	}
-	if err == nil && d.node != nil {
-		ban, banned := d.core.Banned(id)
-		d.recovery.BroadcastBan(id, banned, ban.Since)
+	if err == nil && a.node != nil {
+		ban, banned := a.core.Banned(id)
+		a.recovery.BroadcastBan(id, banned, ban.Since)
 	}
 	return err
 }
 
-// Drain sends clients away on every front. What is open goes on.
-func (d *desk) Drain() error { (*Gateway)(d).sendAway(); return nil }
+// Drain sends clients away on every front. Calls in flight are still answered.
+func (a *operatorAPI) Drain() error { (*Gateway)(a).drainClients(); return nil }
 
-func (g *Gateway) sendAway() {
+func (g *Gateway) drainClients() {
 	g.front.Drain()
-	if g.calls != nil {
-		g.calls.Drain()
+	if g.mqttFront != nil {
+		g.mqttFront.Drain()
 	}
 	open := 0
 	if g.core != nil {
@@ -189,19 +193,19 @@
 	g.log.Info("clients are sent away", zap.Int("open", open), zap.Int("clients", g.front.Conns()))
 }
 
-// Resume takes clients again. A process that is ending doesn't.
-func (d *desk) Resume() error {
-	if d.terminating {
+// Resume accepts clients again after Drain. It fails in a process that is ending.
+func (a *operatorAPI) Resume() error {
+	if a.terminating {
 		return errEnding
 	}
-	(*Gateway)(d).takeAgain()
+	(*Gateway)(a).resumeClients()
 	return nil
 }
 
-func (g *Gateway) takeAgain() {
+func (g *Gateway) resumeClients() {
 	g.front.Resume()
-	if g.calls != nil {
-		g.calls.Resume()
+	if g.mqttFront != nil {
+		g.mqttFront.Resume()
 	}
 	g.log.Info("clients are taken again")
 }
--- a/internal/lifecycle/operator_test.go
+++ b/internal/lifecycle/operator_test.go
@@ -13,12 +13,12 @@
 	"quillrail/internal/lifecycle/handover"
 )
 
-// served starts a gateway on loopback with a door for operators, and its turns. It takes clients on return: operators' calls
-// go before what a turn was to do, its beginning too.
-func served(t *testing.T) *Gateway {
+// startWithOperators runs a gateway on loopback with an operator listener until the test ends. It waits until the gateway accepts
+// clients: operator calls have priority in the event loop and would otherwise run before the start.
+func startWithOperators(t *testing.T) *Gateway {
 	t.Helper()
 	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:1",
-		`"listen":`, `"operator":"127.0.0.1:0","listen":`).Replace(text)))
+		`"listen":`, `"operator":"127.0.0.1:0","listen":`).Replace(configText)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,15 +27,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	runTurns(t, g)
+	runLoop(t, g)
 	begun := make(chan struct{})
 	g.loop.Post(func() { close(begun) })
 	<-begun
 	return g
 }
 
-// runTurns runs a gateway's turns until the test ends, and its sockets with them.
-func runTurns(t *testing.T, g *Gateway) {
+// runLoop runs a gateway's event loop until the test ends, and then closes its sockets.
+func runLoop(t *testing.T, g *Gateway) {
 	end, ended := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -54,16 +54,16 @@
 		g.loop.Post(func() {})
 		<-ended
 		g.net.Stop()
-		if g.admin != nil {
-			g.admin.Stop()
+		if g.operatorNet != nil {
+			g.operatorNet.Stop()
 		}
 	})
 }
 
-// ask makes one operator's call on a real socket.
-func ask(t *testing.T, g *Gateway, call string) string {
+// operatorCall makes one operator call on a real socket and returns the reply.
+func operatorCall(t *testing.T, g *Gateway, call string) string {
 	t.Helper()
-	conn, err := net.Dial("tcp", g.admin.Addr())
+	conn, err := net.Dial("tcp", g.operatorNet.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,9 +76,9 @@
 	return string(got)
 }
 
-// Operators' calls on real sockets: their replies, what they do to readiness, and the figures by their names.
-func TestOperatorsDoor(t *testing.T) {
-	g := served(t)
+// Operator calls on real sockets have the expected replies and effects on readiness, and show-stat lists all metrics by name.
+func TestOperatorCallsOverSocket(t *testing.T) {
+	g := startWithOperators(t)
 	for _, step := range [][2]string{
 		{"ready", "SUCCESS\n"},
 		{"disable-server s-00c41f7a", "SUCCESS\n"},
@@ -98,12 +98,12 @@
 		{"resume", "SUCCESS\n"},
 		{"ready", "SUCCESS\n"},
 	} {
-		if got := ask(t, g, step[0]); got != step[1] {
+		if got := operatorCall(t, g, step[0]); got != step[1] {
 			t.Errorf("%s: %q, want %q", step[0], got, step[1])
 		}
 	}
 	done := make(chan struct{})
-	g.loop.Post(func() { // SIGHUP with a configuration that can't be read, and with one that can, then SIGTERM
+	g.loop.Post(func() { // SIGHUP with an unreadable configuration, SIGHUP with a valid one, then SIGTERM
 		g.reload(nil, io.ErrUnexpectedEOF)
 		g.reload(g.conf, nil)
 		g.done = func() {}
@@ -111,25 +111,25 @@
 		close(done)
 	})
 	<-done
-	if got := ask(t, g, "show-stat"); !strings.Contains(got, "svc.config_applied:1|c\nsvc.config_rejected:1|c\n") {
-		t.Errorf("figures %q", got)
+	if got := operatorCall(t, g, "show-stat"); !strings.Contains(got, "svc.config_applied:1|c\nsvc.config_rejected:1|c\n") {
+		t.Errorf("metrics after two reloads: %q", got)
 	}
 	for _, call := range []string{"ready", "resume"} {
-		if got := ask(t, g, call); got != "FAILURE the process is ending\n" {
+		if got := operatorCall(t, g, call); got != "FAILURE the process is ending\n" {
 			t.Errorf("%s after SIGTERM: %q", call, got)
 		}
 	}
 }
 
-// At SIGTERM with a successor that is ready, new connections are its own: this process closes its copy of the socket at
-// once, tells the callers of a broker to come back, and still says yes to clients whose connections it holds, since the
-// gateway as a whole takes them.
-func TestLeavingToASuccessor(t *testing.T) {
-	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:1").Replace(text)))
+// At SIGTERM with a ready successor, the successor accepts all new connections: this process closes its listening socket at once. It
+// refuses calls over MQTT, to be sent again later. On its open connections /check still answers yes, since the gateway as a whole
+// accepts calls.
+func TestDrainWithReadySuccessorClosesListener(t *testing.T) {
+	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:1").Replace(configText)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Extensions, err = ParseExtensions(mqttOn); err != nil {
+	if c.Extensions, err = ParseExtensions(extensionsText); err != nil {
 		t.Fatal(err)
 	}
 	g, err := Start(c, core.WallClock, zap.NewNop())
@@ -138,7 +138,7 @@
 	}
 	defer g.net.Stop()
 	g.loop.RunOnce()
-	// nbio forgets an end that comes before its own goroutines have begun: a connection that is taken shows that they have.
+	// nbio ignores a stop that comes before its goroutines run. An accepted connection shows that they do.
 	conn, err := net.Dial("tcp", g.net.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -148,17 +148,17 @@
 	}
 	conn.Close()
 	g.done = func() {}
-	g.upgrade = &upgrade{g: g, to: &handover.Peer{}}
-	if g.drain(); g.terminating { // the successor's word is on the way: as if there were none, connections would be lost
-		t.Error("SIGTERM did not wait for the successor's word")
+	g.upgrade = &upgrade{gateway: g, successor: &handover.Peer{}}
+	if g.drain(); g.terminating { // its ready message may be on the way; draining as if there were no successor would lose connections
+		t.Error("SIGTERM did not wait for the successor's ready message")
 	}
-	g.upgrade.toReady = true
+	g.upgrade.successorReady = true
 	g.drain()
-	if g.calls.Ready() || !g.front.Ready() {
-		t.Errorf("takes calls over MQTT %v, says yes over HTTP %v", g.calls.Ready(), g.front.Ready())
+	if g.mqttFront.Ready() || !g.front.Ready() {
+		t.Errorf("accepts calls over MQTT: %v, want false; ready over HTTP: %v, want true", g.mqttFront.Ready(), g.front.Ready())
 	}
-	if conn, err := net.Dial("tcp", g.net.Addr()); err == nil { // nobody else has a copy of the socket here
+	if conn, err := net.Dial("tcp", g.net.Addr()); err == nil { // there is no real successor here that would accept
 		conn.Close()
-		t.Error("still accepts connections")
+		t.Error("the process still accepts connections")
 	}
 }
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -26,56 +26,56 @@
 )
 
 const (
-	ownSockets    = 32                     // descriptors kept for the process itself, and of these
-	platformComes = 400 * time.Millisecond // after SIGTERM new connections go on coming for so long,
-	keepAccept    = 700 * time.Millisecond // and calls for so long
-	longestDrain  = 3 * time.Second        // a longer deadline counts as this to the platform
-	drainMargin   = 400 * time.Millisecond // what is open then is answered, so long before SIGKILL can come
-	lastFlush     = 100 * time.Millisecond // for the last answers to leave the sockets
-	successorWait = 500 * time.Millisecond // at SIGTERM, for a successor to say that it is ready
-	heldPart      = 8                      // of the memory is for answers to clients that read slowly
-	memoryPart    = 0.6                    // of the limit that the Go runtime may take before it collects harder
+	processSockets      = 32                     // descriptors reserved for the process itself
+	connectionWindow    = 400 * time.Millisecond // how long after SIGTERM new connections may still arrive
+	callWindow          = 700 * time.Millisecond // how long after SIGTERM calls may still arrive
+	maxPlatformDeadline = 3 * time.Second        // the platform waits no longer than this for calls with a longer deadline
+	drainMargin         = 400 * time.Millisecond // calls in flight are answered this long before SIGKILL can come
+	flushDelay          = 100 * time.Millisecond // time for the last answers to leave the sockets
+	successorReadyWait  = 500 * time.Millisecond // how long SIGTERM waits for a successor to report that it is ready
+	heldAnswersDivisor  = 8                      // answers to clients that read slowly may take the memory limit divided by this
+	memoryLimitFraction = 0.6                    // part of the memory limit at which the Go runtime begins to collect garbage harder
 )
 
 // Gateway is a running gateway.
 type Gateway struct {
-	loop        *core.Loop
-	core        *core.Core
-	taker       httpfront.Core // the core, or what stands before it
-	net         *sock.Net
-	front       *httpfront.Front
-	pool        *workerlink.Pool
-	calls       *mqtt.Front     // nil where MQTT is off
-	link        *mqtt.Link      // likewise
-	flows       *ipfix.Exporter // nil where the export is off
-	log         *zap.Logger
-	feed        *bulletin.Feed
-	conf        *Config
-	node        *fleet.Node      // nil where the gateway is of no fleet
-	recovery    *fleet.Recovery  // the node's part that brings the gateway back
-	agreement   *agreement.Agent // the node's part that keeps what is agreed, nil where nothing is
-	pending     *Config          // that came in a freeze,
-	drops       bool             // and is dropped afterwards
-	kept        uint64           // configurations that came in freezes
-	fresh       bool             // the node brings the gateway up
-	admin       *sock.Net        // nil where operators have none
-	upgrade     *upgrade         // nil where no new process can take over
-	terminating bool
-	patient     bool // SIGTERM has come, and a successor that has not said that it is ready is waited for
+	loop            *core.Loop
+	core            *core.Core
+	taker           httpfront.Core // the core, or a wrapper around it
+	net             *sock.Net
+	front           *httpfront.Front
+	pool            *workerlink.Pool
+	mqttFront       *mqtt.Front     // nil if clients are not served by MQTT
+	mqttLink        *mqtt.Link      // nil if no workers are reached by MQTT
+	flowExporter    *ipfix.Exporter // nil if the export is off
+	log             *zap.Logger
+	feed            *bulletin.Feed
+	conf            *Config
+	node            *fleet.Node      // nil if the gateway belongs to no fleet
+	recovery        *fleet.Recovery  // the node's part that recovers the gateway's state after a restart
+	agreement       *agreement.Agent // the node's part that holds what the fleet has agreed, nil if it is off
+	pendingConfig   *Config          // received during a freeze and not applied yet
+	dropPending     bool             // pendingConfig is dropped, rather than applied, when the freeze ends
+	deferredConfigs uint64           // number of configurations that freezes have deferred
+	recovers        bool             // the node recovers the state and starts the service: no running process was taken over
+	operatorNet     *sock.Net        // nil if there is no operator listener
+	upgrade         *upgrade         // nil if no new process can take over
+	terminating     bool
+	awaitsSuccessor bool // SIGTERM has come and is delayed once, until a successor can report that it is ready
 
-	began time.Duration    // of this process
-	known []bulletin.Event // the list to begin with, until it is told
-	told  func(whole bool, members []core.Member)
+	startedAt     time.Duration    // loop time at the start of this process
+	initialEvents []bulletin.Event // the worker list to begin with, until followList applies it
+	updateList    func(whole bool, members []core.Member)
 
 	applied, rejected uint64 // configurations read at SIGHUP
 	done              context.CancelFunc
 }
 
-// Serve runs a gateway until ctx ends, then drains it. Each signal on hup has the configuration read again.
-func Serve(ctx context.Context, c *Config, hup <-chan os.Signal, log *zap.Logger) error {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
-	debug.SetMemoryLimit(int64(memoryPart * float64(c.MemoryMB) * (1 << 20)))
-	g, err := Start(c, Clock, log)
+// Serve runs a gateway until ctx ends, then drains it. At each signal on hup it reloads the configuration.
+func Serve(ctx context.Context, conf *Config, hup <-chan os.Signal, log *zap.Logger) error {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(conf.Cores))))
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(conf.MemoryMB) * (1 << 20)))
+	g, err := Start(conf, Clock, log)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 			case <-run.Done():
 				return
 			case <-hup:
-				c, err := nodeConfig()
+				c, err := readNodeConfig()
 				g.loop.Post(func() { g.reload(c, err) })
 			}
 		}
@@ -101,52 +101,53 @@
 	return nil
 }
 
-// Start brings the parts of a gateway up; its Loop is still to be run.
-func Start(c *Config, clock func() time.Duration, log *zap.Logger) (*Gateway, error) {
+// Start creates a gateway and starts its listeners. The caller must then run its event loop.
+func Start(conf *Config, clock func() time.Duration, log *zap.Logger) (*Gateway, error) {
 	loop := core.NewLoop(clock)
-	g := &Gateway{loop: loop, conf: c, log: log, began: loop.Now(),
-		front: httpfront.New(loop, c.Site, c.clients(), c.MemoryMB<<20/heldPart, log.Named("http"))}
+	g := &Gateway{loop: loop, conf: conf, log: log, startedAt: loop.Now(),
+		front: httpfront.New(loop, conf.Site, conf.clientSockets(), conf.MemoryMB<<20/heldAnswersDivisor, log.Named("http"))}
 	var ln net.Listener
 	var state handover.State
-	if c.StateDir != "" {
-		ln, state = g.inherit(c)
+	if conf.StateDir != "" {
+		ln, state = g.takeOver(conf)
 	}
 	var err error
 	if ln == nil {
-		if ln, err = sock.Bind(c.Listen, c.StateDir != ""); err != nil {
+		if ln, err = sock.Bind(conf.Listen, conf.StateDir != ""); err != nil {
 			return nil, err
 		}
 	}
-	if g.net, err = sock.Serve(ln, sock.Limits{Descriptors: c.Sockets, Accepted: c.clients()}, g.front.Accept, log); err != nil {
+	if g.net, err = sock.Serve(ln, sock.Limits{Descriptors: conf.Sockets, Accepted: conf.clientSockets()}, g.front.Accept, log); err != nil {
 		return nil, err
 	}
-	if c.Operator != "" {
-		door := opfront.New(loop, (*desk)(g), log.Named("operator"))
-		if g.admin, err = sock.Listen(c.Operator, sock.Limits{Descriptors: c.Sockets, Accepted: opfront.Descriptors}, door.Accept, log); err != nil {
+	if conf.Operator != "" {
+		operatorFront := opfront.New(loop, (*operatorAPI)(g), log.Named("operator"))
+		if g.operatorNet, err = sock.Listen(conf.Operator, sock.Limits{Descriptors: conf.Sockets, Accepted: opfront.Descriptors},
+			operatorFront.Accept, log); err != nil {
 			g.net.Stop()
 			return nil, err
 		}
-		log.Info("operators are heard", zap.String("at", g.admin.Addr()))
+		log.Info("operators are heard", zap.String("at", g.operatorNet.Addr()))
 	}
-	g.comeBack(c, state.Roster.Bans)
-	if g.fresh = g.node != nil && (g.upgrade == nil || g.upgrade.from == nil); g.fresh {
-		loop.Post(func() { g.join(false) })
+	g.addFleetNode(conf, state.Roster.Bans)
+	if g.recovers = g.node != nil && (g.upgrade == nil || g.upgrade.predecessor == nil); g.recovers {
+		loop.Post(func() { g.joinFleet(false) })
 		return g, nil
 	}
-	if err := g.build(c, state); err != nil {
+	if err := g.build(conf, state); err != nil {
 		g.net.Stop()
 		return nil, err
 	}
 	loop.Post(func() {
-		g.follow()
-		g.open()
+		g.followList()
+		g.acceptClients()
 	})
 	return g, nil
 }
 
-// reload is what SIGHUP does: the bulletin is followed at the address that the configuration names now, and all
-// else goes on. A configuration that can't be used is logged, and the old one stays.
-func (g *Gateway) reload(c *Config, err error) {
+// reload is called at SIGHUP with the configuration read again. Only the bulletin's address is applied; all else stays as it was. If
+// the configuration is invalid, this is logged and the old one stays.
+func (g *Gateway) reload(conf *Config, err error) {
 	if g.feed == nil && err == nil {
 		err = errNotReady
 	}
@@ -155,21 +156,21 @@
 		g.log.Error("configuration not reloaded", zap.Error(err))
 		return
 	}
-	if !g.frozen(c) {
-		g.take(c)
+	if !g.deferDuringFreeze(conf) {
+		g.applyConfig(conf)
 	}
 }
 
-// take goes by a configuration.
-func (g *Gateway) take(c *Config) {
+// applyConfig moves to the bulletin that a configuration names, and warns if it also changes what needs a restart.
+func (g *Gateway) applyConfig(conf *Config) {
 	g.applied++
-	if g.pending = nil; g.agreement != nil {
-		g.agreement.Configured(c.ID)
+	if g.pendingConfig = nil; g.agreement != nil {
+		g.agreement.Configured(conf.Revision)
 	}
-	if o := g.conf; c.Listen != o.Listen || c.MemoryMB != o.MemoryMB || c.Sockets != o.Sockets || c.Cores != o.Cores ||
-		!reflect.DeepEqual(c.Site, o.Site) {
+	if old := g.conf; conf.Listen != old.Listen || conf.MemoryMB != old.MemoryMB || conf.Sockets != old.Sockets || conf.Cores != old.Cores ||
+		!reflect.DeepEqual(conf.Site, old.Site) {
 		g.log.Warn("listen, limits and settings stay as they are until a restart")
 	}
-	g.log.Info("configuration reloaded", zap.String("bulletin", c.Bulletin))
-	g.feed.Move(c.Bulletin, c.Known)
+	g.log.Info("configuration reloaded", zap.String("bulletin", conf.Bulletin))
+	g.feed.Move(conf.Bulletin, conf.KnownEvents)
 }
--- /dev/null
+++ b/internal/lifecycle/shutdown.go
@@ -0,0 +1,128 @@
+package lifecycle
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+)
+
+// drainLimit returns how long after SIGTERM calls in flight may still be answered. The platform may send SIGKILL callWindow after the
+// longest deadline of the classes has passed, and counts a deadline as maxPlatformDeadline at most.
+func (g *Gateway) drainLimit() time.Duration {
+	most := time.Duration(0)
+	for _, c := range g.conf.Site.Decide.Classes {
+		most = max(most, c.Deadline)
+	}
+	return min(most, maxPlatformDeadline) + callWindow - drainMargin
+}
+
+// drain is called at SIGTERM. Without a successor the gateway first accepts calls as usual, since the platform goes on sending them.
+// After connectionWindow, when no new connections arrive, each answer closes its connection, since clients go on sending on open
+// ones. After callWindow, connections are closed as they become idle, and the process ends with the last answer.
+func (g *Gateway) drain() {
+	if g.terminating {
+		return
+	}
+	// The successor's ready message may still be on its way: the signal can overtake it.
+	if g.upgrade != nil && g.upgrade.successor != nil && !g.upgrade.successorReady && !g.awaitsSuccessor {
+		g.awaitsSuccessor = true
+		g.loop.After(successorReadyWait, g.drain)
+		return
+	}
+	g.terminating = true
+	if g.core == nil { // startup has not come to serving calls
+		g.log.Info("stopping before the gateway served any call")
+		g.stop()
+		return
+	}
+	if g.agreement != nil {
+		g.agreement.Ending()
+	}
+	if g.node != nil {
+		g.node.Drain()
+	}
+	handed := g.upgrade != nil && g.upgrade.successorReady
+	g.log.Info("draining", zap.Int("open", g.core.InFlight()), zap.Int("clients", g.front.Conns()), zap.Bool("handed", handed))
+	if handed { // the new process accepts the connections in the listening socket's queue and all later ones
+		g.net.StopAccepting()
+		g.front.HandOver()
+		if g.mqttFront != nil { // the new process connects to the broker when this one has disconnected
+			g.mqttFront.Drain()
+		}
+		g.loop.After(flushDelay, g.stopAfterClients)
+	} else { // /check answers no, so that clients go elsewhere; later, answers close the connections of those that still call
+		g.front.Unready()
+		g.loop.After(connectionWindow, g.front.HandOver)
+		g.loop.After(callWindow, g.stopAfterCalls)
+	}
+	g.loop.After(g.drainLimit(), func() {
+		if n := g.core.InFlight(); n > 0 {
+			g.log.Warn("out of time", zap.Int("failed", n))
+			g.core.FailAll()
+		}
+		g.front.Shutdown()
+		g.loop.After(flushDelay, g.stop) // even if acknowledgements of a broker are still outstanding
+	})
+}
+
+// stopAfterClients stops the gateway when no calls are in flight, no clients are connected and the broker has acknowledged all outcomes.
+// It checks this every 10 ms.
+func (g *Gateway) stopAfterClients() {
+	if g.core.InFlight() > 0 || g.front.Conns() > 0 || g.mqttFront != nil && g.mqttFront.Up() && g.mqttFront.Waiting() > 0 {
+		g.loop.After(10*time.Millisecond, g.stopAfterClients)
+		return
+	}
+	g.stop()
+}
+
+// stopAfterCalls is the same without a successor. It doesn't wait until clients disconnect: when all calls are answered and the answers
+// read, it closes the connections.
+func (g *Gateway) stopAfterCalls() {
+	if g.core.InFlight() > 0 || g.front.Unsent() > 0 || g.mqttFront != nil && g.mqttFront.Up() && g.mqttFront.Waiting() > 0 {
+		g.loop.After(10*time.Millisecond, g.stopAfterCalls)
+		return
+	}
+	g.front.Shutdown()
+	g.loop.After(flushDelay, func() {
+		if g.core.InFlight() > 0 || g.front.Unsent() > 0 { // another call arrived meanwhile
+			g.stopAfterCalls()
+			return
+		}
+		g.stop()
+	})
+}
+
+// stop fails the calls that are still in flight, closes the sessions that need an orderly end, and then ends the event loop.
+func (g *Gateway) stop() {
+	if g.core != nil {
+		g.core.FailAll()
+	}
+	if g.mqttFront != nil {
+		g.mqttFront.Stop()
+	}
+	if g.mqttLink != nil {
+		g.mqttLink.Stop()
+	}
+	if g.flowExporter != nil {
+		g.flowExporter.Stop()
+	}
+	if g.upgrade != nil {
+		g.upgrade.stop()
+	}
+	if g.agreement != nil {
+		g.agreement.Stop()
+	}
+	if g.node != nil { // the successor joins the fleet under this gateway's name, with its state file, when exit closes the link to it
+		g.node.Stop(g.exit)
+		return
+	}
+	g.exit()
+}
+
+// exit closes the links to other processes of the gateway and ends the event loop, and with it the process.
+func (g *Gateway) exit() {
+	if g.upgrade != nil {
+		g.upgrade.closeLinks()
+	}
+	g.done()
+}
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -12,96 +12,98 @@
 	"quillrail/internal/roster"
 )
 
-// offerLimit is how long a new process is made to wait for the turn.
-const offerLimit = 1500 * time.Millisecond
+// offerTimeout is how long a new process waits for the event loop to return the state for it.
+const offerTimeout = 1500 * time.Millisecond
 
-// upgrade is this process's part in handing the gateway on: from a predecessor at its start, to a successor later.
-// Its fields belong to the turn; its methods that the link calls only post.
+// upgrade hands the gateway over between processes: from a predecessor to this process at its start, and later to a successor. It
+// implements handover.Handler. Its fields belong to the event loop; the methods of handover.Handler, which run on goroutines of the
+// link, only post to the loop.
 type upgrade struct {
-	g       *Gateway
-	dir     string
-	who     handover.Who
-	saver   *handover.Saver
-	door    *handover.Server // where a successor asks
-	opening bool
-	from    *handover.Peer // the predecessor, while it lives
-	to      *handover.Peer // the successor
-	toReady bool           // it can serve
-	offered roster.Saved   // what the successor was told
-	ended   bool
+	gateway        *Gateway
+	dir            string
+	identity       handover.Identity
+	saver          *handover.Saver
+	server         *handover.Server // accepts the successor's connection
+	listening      bool             // a goroutine is creating the server
+	predecessor    *handover.Peer   // nil once the predecessor has ended
+	successor      *handover.Peer
+	successorReady bool         // the successor has reported that it is ready to serve
+	offeredRoster  roster.Saved // the roster that was last offered to a successor
+	ended          bool
 }
 
-// inherit looks for a process of this gateway that serves now, or for what one has left.
-func (g *Gateway) inherit(c *Config) (net.Listener, handover.State) {
-	u := &upgrade{g: g, dir: c.StateDir, who: handover.Who{Name: c.Name, Listen: c.Listen}}
+// takeOver requests the listening socket and the state from the process of this gateway that serves now. If there is none, it loads the
+// state file of a former process; the listener is nil then.
+func (g *Gateway) takeOver(conf *Config) (net.Listener, handover.State) {
+	u := &upgrade{gateway: g, dir: conf.StateDir, identity: handover.Identity{Name: conf.Name, Listen: conf.Listen}}
 	g.upgrade = u
-	peer, ln, state, err := handover.Take(u.dir, u.who)
+	peer, ln, state, err := handover.TakeOver(u.dir, u.identity)
 	if err == nil {
-		u.from = peer
+		u.predecessor = peer
 		g.log.Info("taking over from a process that serves", zap.Int("bans", len(state.Roster.Bans)))
 		return ln, state
 	}
-	if !errors.Is(err, handover.ErrNone) {
+	if !errors.Is(err, handover.ErrNoPredecessor) {
 		g.log.Warn("nothing is taken over from the process that serves", zap.Error(err))
 	}
-	state, err = handover.Load(u.dir, u.who)
+	state, err = handover.Load(u.dir, u.identity)
 	switch {
 	case err == nil:
 		g.log.Info("state of a former process is taken", zap.Int("bans", len(state.Roster.Bans)))
-	case !errors.Is(err, handover.ErrNone):
+	case !errors.Is(err, handover.ErrNoPredecessor):
 		g.log.Warn("state of a former process is not used", zap.Error(err))
 	}
 	return nil, state
 }
 
-// begin is called in the first turn, when calls are taken.
-func (u *upgrade) begin() {
-	u.saver = handover.NewSaver(u.dir, func(err error) { u.g.log.Warn("state not saved", zap.Error(err)) })
+// start is called on the event loop when the gateway begins to serve clients.
+func (u *upgrade) start() {
+	u.saver = handover.NewSaver(u.dir, func(err error) { u.gateway.log.Warn("state not saved", zap.Error(err)) })
 	u.save()
-	if u.from != nil {
-		u.from.Start(u)
-		u.from.Ready()
+	if u.predecessor != nil {
+		u.predecessor.Start(u)
+		u.predecessor.Ready()
 	}
-	u.open()
-	u.share()
+	u.listen()
+	u.splitLimits()
 }
 
-// openAgain is the pause after a place for the next process that could not be had: the folder may be full for a while.
-const openAgain = time.Second
+// listenRetryDelay is the time between attempts to create the server for a successor; they fail, for example, while the disk is full.
+const listenRetryDelay = time.Second
 
-// open takes the place where the next process asks, off the turn.
-func (u *upgrade) open() {
-	if u.opening || u.g.terminating {
+// listen creates the server for a successor on another goroutine, since that may block. It replaces an earlier one.
+func (u *upgrade) listen() {
+	if u.listening || u.gateway.terminating {
 		return
 	}
-	u.opening = true
+	u.listening = true
 	go func() {
-		door, err := handover.Listen(u.dir, u.who, u)
-		u.g.loop.Post(func() {
-			u.opening = false
+		server, err := handover.Listen(u.dir, u.identity, u)
+		u.gateway.loop.Post(func() {
+			u.listening = false
 			if err != nil {
-				u.g.log.Warn("a new process won't be able to take over", zap.Error(err))
-				u.g.loop.After(openAgain, u.open)
+				u.gateway.log.Warn("a new process won't be able to take over", zap.Error(err))
+				u.gateway.loop.After(listenRetryDelay, u.listen)
 				return
 			}
-			if u.door != nil {
-				u.door.Close()
+			if u.server != nil {
+				u.server.Close()
 			}
-			u.door = door
+			u.server = server
 		})
 	}()
 }
 
-// share keeps each of two processes to half of what the gateway may hold. Clients are not counted: the platform bounds
-// what they hold of the gateway as a whole.
-func (u *upgrade) share() {
-	c, part := u.g.conf, 1
-	if u.from != nil || u.to != nil {
-		part = 2
+// splitLimits gives each process half of the gateway's worker connections and memory while there are two, and all to a single one.
+// Client connections are not split: the platform limits them for the gateway as a whole.
+func (u *upgrade) splitLimits() {
+	conf, divisor := u.gateway.conf, 1
+	if u.predecessor != nil || u.successor != nil {
+		divisor = 2
 	}
-	u.g.pool.SetLimit((c.Sockets - c.clients() - c.own()) / part)
-	if c.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(c.MemoryMB) * (1 << 20) / float64(part)))
+	u.gateway.pool.SetLimit((conf.Sockets - conf.clientSockets() - conf.reservedSockets()) / divisor)
+	if conf.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(conf.MemoryMB) * (1 << 20) / float64(divisor)))
 	}
 }
 
@@ -109,135 +111,135 @@
 	if u.ended {
 		return
 	}
-	u.saver.Save(handover.State{Who: u.who, Roster: u.g.core.Saved()})
+	u.saver.Save(handover.State{Identity: u.identity, Roster: u.gateway.core.Saved()})
 }
 
-// changed passes on what an operator has said of a worker here.
-func (u *upgrade) changed(id string) {
-	ban, banned := u.g.core.Banned(id)
-	for _, p := range []*handover.Peer{u.from, u.to} {
+// sendBan notifies the other process that an operator has banned a worker here, or lifted its ban, and saves the state.
+func (u *upgrade) sendBan(id string) {
+	ban, banned := u.gateway.core.Banned(id)
+	for _, p := range []*handover.Peer{u.predecessor, u.successor} {
 		switch {
 		case p == nil:
 		case banned:
 			p.Ban(ban)
 		default:
-			p.CallBack(id)
+			p.Unban(id)
 		}
 	}
 	u.save()
 }
 
-// Offer gives a successor the listening socket and the state.
+// Offer returns the listening socket and the state for a successor.
 func (u *upgrade) Offer() (net.Listener, handover.State, error) {
 	type offer struct {
 		state handover.State
 		err   error
 	}
-	got := make(chan offer, 1)
-	go u.g.loop.PostUrgent(func() {
+	offered := make(chan offer, 1)
+	go u.gateway.loop.PostUrgent(func() {
 		switch {
-		case u.g.terminating:
-			got <- offer{err: errEnding}
-		case u.to != nil:
-			got <- offer{err: errors.New("a new process has taken over already")}
+		case u.gateway.terminating:
+			offered <- offer{err: errEnding}
+		case u.successor != nil:
+			offered <- offer{err: errors.New("a new process has taken over already")}
 		default:
-			u.offered = u.g.core.Saved()
-			s := handover.State{Roster: u.offered, Module: u.g.core.Remember()}
-			if u.g.agreement != nil {
-				s.Agreed = u.g.agreement.Handed()
+			u.offeredRoster = u.gateway.core.Saved()
+			s := handover.State{Roster: u.offeredRoster, Module: u.gateway.core.Remember()}
+			if u.gateway.agreement != nil {
+				s.Agreed = u.gateway.agreement.Handed()
 			}
-			got <- offer{state: s}
+			offered <- offer{state: s}
 		}
 	})
 	select {
-	case o := <-got:
-		return u.g.net.Listener(), o.state, o.err
-	case <-time.After(offerLimit):
+	case o := <-offered:
+		return u.gateway.net.Listener(), o.state, o.err
+	case <-time.After(offerTimeout):
 		return nil, handover.State{}, errors.New("no turn in time")
 	}
 }
 
-// Taken notes a successor, and tells it what has changed since it was offered the state.
-func (u *upgrade) Taken(p *handover.Peer) {
-	u.g.loop.PostUrgent(func() {
-		u.to, u.toReady = p, false
-		for _, b := range u.g.core.Saved().Bans {
+// HandedOver stores the link to a successor, and sends it the changes of bans since Offer.
+func (u *upgrade) HandedOver(p *handover.Peer) {
+	u.gateway.loop.PostUrgent(func() {
+		u.successor, u.successorReady = p, false
+		for _, b := range u.gateway.core.Saved().Bans {
 			p.Ban(b)
 		}
-		for _, b := range u.offered.Bans {
-			if _, banned := u.g.core.Banned(b.ID); !banned {
-				p.CallBack(b.ID)
+		for _, b := range u.offeredRoster.Bans {
+			if _, banned := u.gateway.core.Banned(b.ID); !banned {
+				p.Unban(b.ID)
 			}
 		}
-		u.g.log.Info("a new process takes over")
-		u.share()
+		u.gateway.log.Info("a new process takes over")
+		u.splitLimits()
 	})
 }
 
-// PeerReady says that the successor can serve: from SIGTERM on it takes the connections that come.
+// PeerReady notes that the successor is ready: after SIGTERM it alone accepts connections.
 func (u *upgrade) PeerReady(p *handover.Peer) {
-	u.g.loop.PostUrgent(func() {
-		if u.to == p {
-			u.toReady = true
-			u.g.log.Info("the new process is ready")
+	u.gateway.loop.PostUrgent(func() {
+		if u.successor == p {
+			u.successorReady = true
+			u.gateway.log.Info("the new process is ready")
 		}
 	})
 }
 
-// PeerGone says that the other process has ended: this one has the gateway to itself.
+// PeerGone notes that the other process has ended. This one joins the fleet if it was the successor, and has all resources again.
 func (u *upgrade) PeerGone(p *handover.Peer) {
-	u.g.loop.PostUrgent(func() {
+	u.gateway.loop.PostUrgent(func() {
 		switch p {
-		case u.from:
-			u.from = nil
-			u.g.log.Info("the old process has ended")
-			if u.g.node != nil && !u.g.terminating {
-				u.g.join(true)
+		case u.predecessor:
+			u.predecessor = nil
+			u.gateway.log.Info("the old process has ended")
+			if u.gateway.node != nil && !u.gateway.terminating {
+				u.gateway.joinFleet(true)
 			}
-			u.g.connectBrokers()
-		case u.to:
-			u.to, u.toReady = nil, false
-			u.g.log.Warn("the new process has gone")
-			if u.g.agreement != nil {
-				u.g.agreement.Failed("the new process has gone")
+			u.gateway.connectBrokers()
+		case u.successor:
+			u.successor, u.successorReady = nil, false
+			u.gateway.log.Warn("the new process has gone")
+			if u.gateway.agreement != nil {
+				u.gateway.agreement.Failed("the new process has gone")
 			}
-			u.open() // it may have taken the place
+			u.listen() // the successor may have replaced the socket with its own
 		default:
 			return
 		}
-		u.share()
+		u.splitLimits()
 	})
 }
 
-// Ban takes over a ban that an operator has laid at the other process.
+// Ban applies a ban that an operator has laid at the other process.
 func (u *upgrade) Ban(b roster.Ban) {
-	u.g.loop.PostUrgent(func() {
-		u.g.core.Adopt(b)
+	u.gateway.loop.PostUrgent(func() {
+		u.gateway.core.Adopt(b)
 		u.save()
 	})
 }
 
-// CallBack takes over the end of a ban.
-func (u *upgrade) CallBack(id string) {
-	u.g.loop.PostUrgent(func() {
-		if u.g.core.Enable(id) == nil {
+// Unban lifts a ban that an operator has lifted at the other process.
+func (u *upgrade) Unban(id string) {
+	u.gateway.loop.PostUrgent(func() {
+		if u.gateway.core.Enable(id) == nil {
 			u.save()
 		}
 	})
 }
 
-// end closes what the turn will not serve any more.
-func (u *upgrade) end() {
+// stop closes the server and writes the last state, since the event loop is about to end.
+func (u *upgrade) stop() {
 	u.ended = true
-	if u.door != nil {
-		u.door.Close()
+	if u.server != nil {
+		u.server.Close()
 	}
 	u.saver.Close()
 }
 
-// part ends the link to the other process: it has the gateway to itself from then on.
-func (u *upgrade) part() {
-	for _, p := range []*handover.Peer{u.from, u.to} {
+// closeLinks closes the link to the other process, which then has the gateway to itself.
+func (u *upgrade) closeLinks() {
+	for _, p := range []*handover.Peer{u.predecessor, u.successor} {
 		if p != nil {
 			p.Close()
 		}
