--- a/internal/fleet/admit.go
+++ b/internal/fleet/admit.go
@@ -12,82 +12,83 @@
 	"quillrail/internal/fleet/recover"
 )
 
-// open begins to admit clients.
-func (c *Recovery) open() {
+// admitClients starts to admit clients, by share unless this process took over from one that served. Copies that peers or the
+// saved state report count as loaded for admission.
+func (c *Recovery) admitClients() {
 	gateways := c.host.View().Alive()
 	if c.saved != nil {
 		gateways = max(gateways, c.saved.Alive)
 	}
-	c.admit = recover.NewAdmission(recover.Share{Worth: c.rank, Former: c.former, Loads: c.set.Loads, Gateways: gateways},
-		c.bear(), c.host.Now())
-	for fn := range c.agreed.Stands {
-		c.admit.Stands(fn)
+	c.admission = recover.NewAdmission(recover.Share{Worth: c.classWorth, Former: c.formerRate, Loads: c.settings.FirstLoads,
+		Gateways: gateways}, c.averageCapacity(), c.host.Now())
+	for fn := range c.peerState.Stands {
+		c.admission.Stands(fn)
 	}
 	if c.saved != nil && c.saved.Module != nil {
-		kept := c.kept()
+		unrestarted := c.unrestartedWorkers()
 		for _, f := range c.saved.Module.Functions {
-			if slices.ContainsFunc(f.Placements, func(p decide.PlacementSnapshot) bool { return kept[p.Worker] }) {
-				c.admit.Stands(f.Name)
+			if slices.ContainsFunc(f.Placements, func(p decide.PlacementSnapshot) bool { return unrestarted[p.Worker] }) {
+				c.admission.Stands(f.Name)
 			}
 		}
 	}
-	c.host.Become(member.Serving)
-	if c.serves || TrustAll {
-		c.admit = nil
-		c.pass(recover.Admitting, "")
+	c.host.SetState(member.Serving)
+	if c.tookOver || TrustAll {
+		c.admission = nil
+		c.endPhase(recover.Admitting, "")
 	}
-	c.gw.Serve()
-	if c.admit == nil {
+	c.gateway.Serve()
+	if c.admission == nil {
 		return
 	}
-	c.host.Log().Info("clients are admitted", zap.Float64("calls_per_s", c.admit.Rate()), zap.Int("first_loads", c.admit.Slots()),
+	c.host.Log().Info("clients are admitted", zap.Float64("calls_per_s", c.admission.Rate()), zap.Int("first_loads", c.admission.Slots()),
 		zap.Int("gateways", gateways))
 }
 
-// kept are the workers that have not been started anew since the state was saved: what was loaded there may stand. Where it
-// does not, the module's bound on loads still holds.
-func (c *Recovery) kept() map[string]bool {
-	kept := map[string]bool{}
+// unrestartedWorkers returns the workers that have not restarted since the state was saved: functions loaded there then may still
+// be loaded. Where one is not, the module's limit on loads still applies.
+func (c *Recovery) unrestartedWorkers() map[string]bool {
+	unrestarted := map[string]bool{}
 	for _, h := range c.saved.List {
-		if m, listed := c.members[h.Name]; listed && m.State == decide.Ready && m.Since <= h.Since {
-			kept[h.Name] = true
+		if m, listed := c.workers[h.Name]; listed && m.State == decide.Ready && m.Since <= h.Since {
+			unrestarted[h.Name] = true
 		}
 	}
-	return kept
+	return unrestarted
 }
 
-// bear is the part of their capacity that the workers have on average, cold as they are.
-func (c *Recovery) bear() float64 {
-	if len(c.members) == 0 {
+// averageCapacity returns the part of its full capacity, 0 to 1, that a worker has on average, counting cold workers by age.
+func (c *Recovery) averageCapacity() float64 {
+	if len(c.workers) == 0 {
 		return 1
 	}
 	sum := 0.0
-	for _, m := range c.members {
+	for _, m := range c.workers {
 		share := 1.0
-		if age := c.host.Now() - m.Since; m.Since > 0 && age < c.set.ColdFor {
-			share = c.set.ColdFrom + (1-c.set.ColdFrom)*max(0, age.Seconds())/c.set.ColdFor.Seconds()
+		if age := c.host.Now() - m.Since; m.Since > 0 && age < c.settings.ColdFor {
+			share = c.settings.ColdFrom + (1-c.settings.ColdFrom)*max(0, age.Seconds())/c.settings.ColdFor.Seconds()
 		}
 		sum += share
 	}
-	return sum / float64(len(c.members))
+	return sum / float64(len(c.workers))
 }
 
-// Admit reports whether a call is taken; where it isn't, how long its client is asked to stay away.
+// Admit reports whether a call is admitted, and if not, after what time the client should retry.
 func (c *Recovery) Admit(class int, function string) (bool, time.Duration) {
-	if c.admit == nil || c.course.Phase() == recover.Full {
+	if c.admission == nil || c.phases.Phase() == recover.Full {
 		return true, 0
 	}
-	return c.admit.Admit(c.host.Now(), class, function), refusal
+	return c.admission.Admit(c.host.Now(), class, function), refusalRetryAfter
 }
 
-// Observe takes the end of a call.
+// Observe records the outcome of a call.
 func (c *Recovery) Observe(r core.Record) {
-	if c.admit == nil || c.course.Phase() == recover.Full || r.Answer == "gone" {
+	if c.admission == nil || c.phases.Phase() == recover.Full || r.Answer == "gone" {
 		return
 	}
 	served := r.Answer == "served"
-	c.admit.Ended(r.Call.Function, served)
-	if served && len(c.foundCopies) < 4*foundCopiesMost && !slices.Contains(c.foundCopies, r.Call.Function) {
-		c.foundCopies = append(c.foundCopies, r.Call.Function)
+	c.admission.Ended(r.Call.Function, served)
+	if served && len(c.foundFunctions) < 4*maxFoundFunctions && !slices.Contains(c.foundFunctions, r.Call.Function) {
+		c.foundFunctions = append(c.foundFunctions, r.Call.Function)
 	}
 }
--- a/internal/fleet/agreement/agent.go
+++ b/internal/fleet/agreement/agent.go
@@ -130,14 +130,14 @@
 			}
 		}
 	}
-	if a.mine = diskOf(a.host.Found()); a.mine != nil {
+	if a.mine = diskOf(a.host.StoredEntries()); a.mine != nil {
 		a.id = a.mine.ID
 		for i := range a.mine.Entries {
 			a.span(i)
 		}
 	}
 	if a.id == 0 {
-		a.id = a.host.Life().Tag | 1<<63 // drawn at random: another disk is another voter
+		a.id = a.host.Incarnation().Tag | 1<<63 // drawn at random: another disk is another voter
 	}
 	if a.mine != nil {
 		g, err := replog.Open(a.o.Name, *a.mine, func(replog.Applied) {})
@@ -145,7 +145,7 @@
 			a.log.Error("the log on disk is not used: this gateway gives its vote up", zap.Error(err))
 			a.forfeit()
 		} else {
-			a.claim = replog.NewEligibility(a.o.Name, a.host.Life().N, g.State().Voters)
+			a.claim = replog.NewEligibility(a.o.Name, a.host.Incarnation().Number, g.State().Voters)
 			if b, err := g.State().Encode(); err == nil && g.State().Index > a.copy.After() {
 				a.copy.Replace(b)
 			}
@@ -227,7 +227,7 @@
 
 // MemberChanged takes what has become of another gateway.
 func (a *Agent) MemberChanged(e member.Event, what member.Transition) {
-	a.lived(e.Card.Name, e.Card.Life)
+	a.lived(e.Metadata.Name, e.Metadata.Incarnation)
 }
 
 func ready(m core.Member) bool { return m.State == decide.Ready }
--- a/internal/fleet/agreement/eligibility.go
+++ b/internal/fleet/agreement/eligibility.go
@@ -31,7 +31,7 @@
 		return
 	}
 	for _, name := range a.others() {
-		a.send(name, message{Kind: messageLifeQuestion, Life: a.host.Life().N, Tag: a.host.Life().Tag})
+		a.send(name, message{Kind: messageLifeQuestion, Life: a.host.Incarnation().Number, Tag: a.host.Incarnation().Tag})
 	}
 	if a.claim != nil {
 		a.judge()
@@ -49,9 +49,9 @@
 	for _, n := range a.o.First {
 		names[n] = true
 	}
-	for _, e := range a.host.View().Others() {
+	for _, e := range a.host.View().Peers() {
 		if e.State < member.Suspected {
-			names[e.Card.Name] = true
+			names[e.Metadata.Name] = true
 		}
 	}
 	delete(names, a.o.Name)
@@ -90,7 +90,7 @@
 func (a *Agent) forfeit() {
 	a.claim, a.mine, a.group, a.writing = nil, nil, nil, false
 	a.id++
-	if a.host.Disk() == nil {
+	if a.host.Store() == nil {
 		return
 	}
 	entries := map[string][]byte{keyID: nil, keyHard: nil, keySnap: nil}
@@ -98,7 +98,7 @@
 		entries[logKey(i)] = nil
 	}
 	a.logLo, a.logHi = 1, 0
-	a.host.Disk().Write(entries, func(error) {})
+	a.host.Store().Write(entries, func(error) {})
 	a.host.SaveSoon()
 }
 
@@ -114,7 +114,7 @@
 			voters = append(voters, replog.Voter{ID: k.id, Name: name, Hall: a.hallOf(name)})
 		}
 	}
-	if len(voters) != len(a.o.First) || a.host.Disk() == nil || a.failedLately() {
+	if len(voters) != len(a.o.First) || a.host.Store() == nil || a.failedLately() {
 		return
 	}
 	a.begin(a.fresh(), voters)
@@ -151,8 +151,8 @@
 
 // hallOf is the hall of a gateway, by what it says of itself.
 func (a *Agent) hallOf(name string) string {
-	if e, ok := a.host.View().Other(name); ok {
-		return a.hallName(e.Card.Hall)
+	if e, ok := a.host.View().Peer(name); ok {
+		return a.hallName(e.Metadata.Hall)
 	}
 	return ""
 }
--- a/internal/fleet/agreement/follow.go
+++ b/internal/fleet/agreement/follow.go
@@ -62,9 +62,9 @@
 	a.asked = now
 	names := slices.DeleteFunc(a.voters(), func(n string) bool { return n == a.o.Name })
 	if len(names) == 0 {
-		for _, e := range a.host.View().Others() { // nobody is known to vote: whoever is there may know
+		for _, e := range a.host.View().Peers() { // nobody is known to vote: whoever is there may know
 			if e.State < member.Suspected {
-				names = append(names, e.Card.Name)
+				names = append(names, e.Metadata.Name)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 		return
 	}
 	if i := slices.Index(names, a.from); i < 0 {
-		a.from = names[int(a.host.Life().Tag%uint64(len(names)))] // not all of a large fleet ask the same one
+		a.from = names[int(a.host.Incarnation().Tag%uint64(len(names)))] // not all of a large fleet ask the same one
 	} else if now-a.heard > lonely {
 		a.from = names[(i+1)%len(names)]
 	}
--- a/internal/fleet/agreement/holder.go
+++ b/internal/fleet/agreement/holder.go
@@ -96,7 +96,7 @@
 		switch {
 		case p.Phase == change.Granted && x.once(p.ID, 1):
 			id := p.ID
-			a.Propose("use", "", 0, change.PermitBody{ID: id, Holder: a.o.Name, Life: a.host.Life().N}, func(_ uint64, err error) {
+			a.Propose("use", "", 0, change.PermitBody{ID: id, Holder: a.o.Name, Life: a.host.Incarnation().Number}, func(_ uint64, err error) {
 				if err != nil {
 					delete(x.asked, id<<3|1) // it may be granted again
 					a.log.Warn("a permit is not used", zap.Uint64("permit", id), zap.Error(err))
@@ -104,7 +104,7 @@
 					a.drained(id)
 				}
 			})
-		case p.Phase == change.Used && mine && p.Release == 0 && p.Life < a.host.Life().N && a.gw.Serving() && x.once(p.ID, 2):
+		case p.Phase == change.Used && mine && p.Release == 0 && p.Life < a.host.Incarnation().Number && a.gw.Serving() && x.once(p.ID, 2):
 			a.giveBack(p.ID) // a former life of this gateway was out by it, and this one serves
 		}
 	}
@@ -113,7 +113,7 @@
 // drained sends clients away: this gateway has seen that its permit is in use. One that an operator has taken back meanwhile
 // is given back: the entry by which it was to lapse comes behind the one by which it was used.
 func (a *Agent) drained(id uint64) {
-	if p := a.State().Change.Permit(id); p == nil || p.Phase != change.Used || p.Life != a.host.Life().N {
+	if p := a.State().Change.Permit(id); p == nil || p.Phase != change.Used || p.Life != a.host.Incarnation().Number {
 		return
 	}
 	if id == a.held.unwanted {
@@ -125,7 +125,7 @@
 }
 
 func (a *Agent) giveBack(id uint64) {
-	a.Propose("return", "", 0, change.PermitBody{ID: id, Holder: a.o.Name, Life: a.host.Life().N}, nil)
+	a.Propose("return", "", 0, change.PermitBody{ID: id, Holder: a.o.Name, Life: a.host.Incarnation().Number}, nil)
 }
 
 // Permit is the permit that names this gateway, nil if none does.
@@ -192,7 +192,7 @@
 // takeBack has a permit lapse or returned, as it stands when that is asked for. It may have been used before the entry was
 // applied, or wait again; then the entry has changed nothing, and the one that fits is proposed.
 func (a *Agent) takeBack(id uint64, by string, done func(uint64, error)) {
-	p, err := a.State().Change.TakeBack(id, a.host.Life().N, "taken back by "+by)
+	p, err := a.State().Change.TakeBack(id, a.host.Incarnation().Number, "taken back by "+by)
 	if err != nil {
 		done(0, err)
 		return
--- a/internal/fleet/agreement/incarnations.go
+++ b/internal/fleet/agreement/incarnations.go
@@ -15,13 +15,13 @@
 func (a *Agent) lived(name string, l member.Incarnation) uint64 {
 	k, known := a.lives[name]
 	switch {
-	case name == a.o.Name || l.N == 0 || !known && len(a.lives) >= maxLives:
-		return k.N
+	case name == a.o.Name || l.Number == 0 || !known && len(a.lives) >= maxLives:
+		return k.Number
 	case l == k.Incarnation:
 		return k.Before
 	case l.Compare(k.Incarnation) > 0:
-		a.lives[name] = incarnations{l, max(k.N, k.Before)}
+		a.lives[name] = incarnations{l, max(k.Number, k.Before)}
 		a.host.SaveSoon()
 	}
-	return k.N
+	return k.Number
 }
--- a/internal/fleet/agreement/logdisk.go
+++ b/internal/fleet/agreement/logdisk.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	for key, b := range found {
-		if text, ok := strings.CutPrefix(key, store.Log); ok {
+		if text, ok := strings.CutPrefix(key, store.LogPrefix); ok {
 			if i, err := strconv.ParseUint(text, 16, 64); err == nil {
 				d.Entries[i] = b
 			}
@@ -37,7 +37,7 @@
 // persist has a write of the log on disk, whole, before done is called on the turn.
 func (a *Agent) persist(w *replog.Write, done func()) {
 	id, err := msgpack.Marshal(a.id)
-	if err != nil || a.host.Disk() == nil {
+	if err != nil || a.host.Store() == nil {
 		a.fail(fmt.Errorf("agree: there is no disk to hold the log on: %w", err))
 		return
 	}
@@ -55,7 +55,7 @@
 		}
 	}
 	group := a.group
-	a.host.Disk().Write(entries, func(err error) {
+	a.host.Store().Write(entries, func(err error) {
 		a.host.Loop().Post(func() {
 			if a.group != group { // given up meanwhile
 				return
@@ -70,7 +70,7 @@
 }
 
 // logKey is the key on disk of an entry of the log.
-func logKey(index uint64) string { return fmt.Sprintf("%s%016x", store.Log, index) }
+func logKey(index uint64) string { return fmt.Sprintf("%s%016x", store.LogPrefix, index) }
 
 // span notes that an entry of the log is on disk.
 func (a *Agent) span(i uint64) {
--- a/internal/fleet/agreement/messages.go
+++ b/internal/fleet/agreement/messages.go
@@ -54,7 +54,7 @@
 
 // Receive takes a message of the same part at another gateway.
 func (a *Agent) Receive(m fleet.Received) {
-	if m.How != fleet.Message || a.stopped || m.From == "" {
+	if m.Channel != fleet.Message || a.stopped || m.From == "" {
 		return
 	}
 	var x message
@@ -66,7 +66,7 @@
 	switch x.Kind {
 	case messageLifeQuestion:
 		st := a.State()
-		y := message{Kind: messageLifeAnswer, Life: a.lived(m.From, member.Incarnation{N: x.Life, Tag: x.Tag}), ID: a.id}
+		y := message{Kind: messageLifeAnswer, Life: a.lived(m.From, member.Incarnation{Number: x.Life, Tag: x.Tag}), ID: a.id}
 		if st != nil {
 			y.Index = st.Index
 		}
--- a/internal/fleet/agreement/propose.go
+++ b/internal/fleet/agreement/propose.go
@@ -40,7 +40,7 @@
 		return
 	}
 	a.seq++
-	e := &replog.Entry{V: 1, From: a.o.Name, Life: a.host.Life().N, Seq: a.seq, By: by, Except: except, Kind: kind, Body: b}
+	e := &replog.Entry{V: 1, From: a.o.Name, Life: a.host.Incarnation().Number, Seq: a.seq, By: by, Except: except, Kind: kind, Body: b}
 	if err := e.Check(); err != nil {
 		done(0, err)
 		return
@@ -135,7 +135,7 @@
 
 // answer ends a proposal of this gateway that has been applied.
 func (a *Agent) answer(x replog.Applied) {
-	if x.Entry.From != a.o.Name || x.Entry.Life != a.host.Life().N {
+	if x.Entry.From != a.o.Name || x.Entry.Life != a.host.Incarnation().Number {
 		return
 	}
 	if p := a.open[x.Entry.Seq]; p != nil { // applied before, while this gateway was away: then that is all that is known
--- a/internal/fleet/agreement/rebuild.go
+++ b/internal/fleet/agreement/rebuild.go
@@ -24,7 +24,7 @@
 		return fmt.Errorf("two different operators have to say so: by=NAME and=NAME")
 	case caught && age < lostFor:
 		return fmt.Errorf("there was a majority %v ago", age.Round(time.Millisecond))
-	case a.host.Disk() == nil:
+	case a.host.Store() == nil:
 		return fmt.Errorf("this gateway has no disk to hold a log on")
 	}
 	var st *replog.State
--- a/internal/fleet/agreement/report.go
+++ b/internal/fleet/agreement/report.go
@@ -104,17 +104,17 @@
 // seen is this gateway's report.
 func (a *Agent) seen(now time.Duration) Report {
 	st := a.State()
-	r := Report{Name: a.o.Name, Life: a.host.Life().N, ID: a.id, Hall: a.o.Hall, Serving: a.gw.Serving(), Warm: a.gw.Warm(), Version: a.o.Version,
+	r := Report{Name: a.o.Name, Life: a.host.Incarnation().Number, ID: a.id, Hall: a.o.Hall, Serving: a.gw.Serving(), Warm: a.gw.Warm(), Version: a.o.Version,
 		Config: a.o.Config, Level: replog.Level, Load: a.observed.load, Classes: append([]change.Tally(nil), a.observed.tallies...), Uses: append([]float64(nil), a.observed.use...)}
 	if st == nil {
 		return r
 	}
 	r.Index = st.Index
-	for _, e := range a.host.View().Others() {
-		t := change.Of(change.Gateway, e.Card.Name)
+	for _, e := range a.host.View().Peers() {
+		t := change.Of(change.Gateway, e.Metadata.Name)
 		k, serving := st.Change.Things[t], e.State == member.Serving
-		if k == nil || k.Health != change.Well || !serving || k.Life != e.Card.Life.N || st.Change.PermitOf(t) != nil {
-			r.Gateways = append(r.Gateways, GatewaySeen{e.Card.Name, e.Card.Life.N, serving})
+		if k == nil || k.Health != change.Well || !serving || k.Life != e.Metadata.Incarnation.Number || st.Change.PermitOf(t) != nil {
+			r.Gateways = append(r.Gateways, GatewaySeen{e.Metadata.Name, e.Metadata.Incarnation.Number, serving})
 		}
 	}
 	halls, dark := map[string]bool{}, map[string]bool{}
--- a/internal/fleet/agreement/shown.go
+++ b/internal/fleet/agreement/shown.go
@@ -61,8 +61,8 @@
 	a.log.Info("agreed", f...)
 }
 
-// Figures shows how far the agreement is known.
-func (a *Agent) Figures(show func(name string, value int)) {
+// Metrics shows how far the agreement is known.
+func (a *Agent) Metrics(show func(name string, value int)) {
 	role := 0
 	if a.group != nil {
 		role = 1
--- a/internal/fleet/disk.go
+++ b/internal/fleet/disk.go
@@ -11,46 +11,46 @@
 	"quillrail/internal/fleet/store"
 )
 
-// keyLife is the entry of the process's life; the others are the parts'.
-const keyLife = "incarnation"
-
-// result is what reading the disk has come to.
-type result struct {
-	db    *store.Store
-	found store.Found
-	life  member.Incarnation
-	err   error
+// keyIncarnation is the key of the entry with the process's incarnation number. All other entries belong to parts.
+const keyIncarnation = "incarnation"
+
+// readResult is the result of reading the disk.
+type readResult struct {
+	db          *store.Store
+	found       store.Found
+	incarnation member.Incarnation
+	err         error
 }
 
-// readState opens the store, and has the process's own life written before anybody hears of it.
-func readState(dir string, clock time.Duration) (r result) {
+// readState opens the store, and queues the process's new incarnation to be written before it is announced to peers.
+func readState(dir string, clock time.Duration) (r readResult) {
 	r.db, r.found, r.err = store.Open(dir)
 	stored := uint64(0)
-	if b, ok := r.found.Entries[keyLife]; ok {
+	if b, ok := r.found.Entries[keyIncarnation]; ok {
 		if err := msgpack.Unmarshal(b, &stored); err != nil {
-			r.found.Refused = append(r.found.Refused, fmt.Sprintf("entry %s: %v", keyLife, err))
+			r.found.Refused = append(r.found.Refused, fmt.Sprintf("entry %s: %v", keyIncarnation, err))
 		}
 	}
-	r.life = member.Next(stored, 0, clock, rand.Uint64())
+	r.incarnation = member.Next(stored, 0, clock, rand.Uint64())
 	if r.db != nil {
-		putLife(r.db, r.life.N)
+		putIncarnation(r.db, r.incarnation.Number)
 	}
 	return r
 }
 
-// putLife has the number of the process's life written.
-func putLife(db *store.Store, number uint64) {
-	db.Put(keyLife, func() ([]byte, error) { return msgpack.Marshal(number) })
+// putIncarnation queues the process's incarnation number to be written.
+func putIncarnation(db *store.Store, number uint64) {
+	db.Put(keyIncarnation, func() ([]byte, error) { return msgpack.Marshal(number) })
 }
 
-// saveLife has the node's life written, if there is a disk.
-func (n *Node) saveLife() {
+// saveIncarnation queues the node's incarnation number to be written, if there is a disk.
+func (n *Node) saveIncarnation() {
 	if n.db != nil {
-		putLife(n.db, n.life.N)
+		putIncarnation(n.db, n.incarnation.Number)
 	}
 }
 
-// save has the store write what the parts know now.
+// save queues the present state of all parts to be written.
 func (n *Node) save() {
 	if n.db == nil {
 		return
--- a/internal/fleet/gateway.go
+++ b/internal/fleet/gateway.go
@@ -8,31 +8,32 @@
 	"quillrail/internal/roster"
 )
 
-// Begin is what a gateway begins with.
-type Begin struct {
-	Roster roster.Saved
-	Module *decide.Snapshot // nil: nothing is known
-	Stands []Stand          // copies that others have found
-	List   []core.Member    // newer than the configuration's, nil if that is the newest
-	Event  uint64           // of List
+// InitialState is the recovered state with which a gateway starts.
+type InitialState struct {
+	Roster    roster.Saved
+	Module    *decide.Snapshot // nil if nothing is known
+	Copies    []LoadedCopy     // copies that peers have found to be loaded
+	List      []core.Member    // worker list, newer than the configuration's; nil if that is the newest
+	ListEvent uint64           // event number of List
 }
 
-// Stand is a copy of a function that was found at a worker, at a time of the turn's clock.
-type Stand struct {
+// LoadedCopy is a copy of a function that a call has found loaded at a worker.
+type LoadedCopy struct {
 	Function, Worker string
-	At               time.Duration
+	ProvenAt         time.Duration // by the event loop's clock
 }
 
-// Gateway is what coming back needs of its gateway. All of it is called on the turn.
+// Gateway is the gateway as Recovery controls it. Its methods are called on the event loop.
 type Gateway interface {
-	Begin(b Begin) error // the list is followed from now on; clients are not served yet
-	Serve()              // clients are served
+	Begin(b InitialState) error // starts to follow the worker list; clients are not served yet
+	Serve()                     // starts to serve clients
 	Remember() *decide.Snapshot
 	Saved() roster.Saved
-	Event() uint64      // the last event of the list that was taken
-	Ban(roster.Ban)     // another gateway leaves a worker out
-	CallBack(id string) // or uses it again
-	// AssumeRate has cold workers judged by what was served before, and bounds the loads under way, 0 for no bound.
+	LastEvent() uint64 // number of the last event of the worker list that was applied
+	Ban(roster.Ban)    // applies a ban from another gateway
+	Unban(id string)   // applies the end of a ban from another gateway
+	// AssumeRate sets the former rate of served calls, by which cold workers are assessed, and the largest number of loads in
+	// progress; 0 means no assumption and no limit.
 	AssumeRate(perSec float64, loads int)
-	Hold(ids map[string]bool) // workers that others know to drain; in place of those held before
+	Hold(ids map[string]bool) // replaces the set of workers held back since peers list them as draining
 }
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -1,9 +1,10 @@
-// Package link is the one channel between gateways for what is said to one of them: messages of many parts over one
-// connection for each direction of a pair, in order while it stands, never waited for. What is sent may be lost, with the
-// connection or for want of room, and is not sent again: those who send say it again as long as it matters.
+// Package link carries messages addressed to a single gateway. All parts share one connection for each direction of a pair
+// of gateways. Messages arrive in order as long as the connection lasts, and senders never block. A message may be lost when
+// the connection fails or the queue is full, and is not retransmitted: the sender repeats it as long as it matters.
 //
-// A connection begins with Magic and a Hello; then come frames of four bytes of length (big-endian) and a message in
-// msgpack. The receiver reads on only once its turn has taken what came, so that a slow one is felt by who sends.
+// A connection begins with Magic and a Hello, followed by frames: a length of four bytes (big-endian) and a message in
+// MessagePack. The receiver stops reading until its event loop has handled earlier messages, so that a slow receiver slows
+// the sender down.
 package link
 
 import (
@@ -18,170 +19,170 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Magic is the first byte of a connection; memberlist's connections begin with another one.
+// Magic is the first byte of a connection. It differs from the first byte of memberlist's connections.
 const Magic = 'Q'
 
 const (
-	maxFrame  = 4 << 20 // bytes of a message
-	maxQueue  = 8 << 20 // bytes that wait for one gateway
-	maxCount  = 4096    // and messages
-	maxPeers  = 1024
-	maxHello  = 4096
-	credit    = 64 // messages that are read and not taken yet, for each connection
-	dialLimit = time.Second
-	stuck     = 3 * time.Second // a write that takes so long ends the connection
-	idle      = 60 * time.Second
+	maxFrame         = 4 << 20 // bytes
+	maxQueueBytes    = 8 << 20 // bytes queued for one gateway
+	maxQueueMessages = 4096    // messages queued for one gateway
+	maxPeers         = 1024    // connections in each direction
+	maxHello         = 4096
+	credit           = 64 // messages per connection that have been read but not handled yet
+	dialTimeout      = time.Second
+	ioTimeout        = 3 * time.Second // for a write, and for the Hello to arrive; then the connection is closed
+	idleTimeout      = 60 * time.Second
 )
 
-// Hello is what a gateway says of itself first.
+// Hello identifies the sending gateway at the start of a connection.
 type Hello struct {
 	Fleet        string
 	Name         string
-	Life         uint64
+	Incarnation  uint64 `msgpack:"Life"`
 	Major, Minor uint8
 }
 
-// Message is a piece of a part's talk.
+// Message is one message of a part, addressed to the same part at another gateway.
 type Message struct {
 	Part string
 	Body []byte
 }
 
-// Handler takes what comes in, on the connection's goroutine; taken has to be called once the message has been dealt with,
-// from any goroutine.
-type Handler func(from Hello, m Message, taken func())
+// Handler receives each incoming message on the connection's goroutine. It must have done called, from any goroutine, once
+// the message has been handled.
+type Handler func(from Hello, m Message, done func())
 
-// Stats are what has become of messages.
+// Stats counts the messages sent by this gateway.
 type Stats struct {
-	Sent, Lost uint64 // written to a connection; dropped
+	Sent, Lost uint64 // written to a connection; dropped or failed to be written
 	Bytes      uint64 // written
 	Peers      int
 }
 
-// Net is this gateway's end of all links. Its methods may be called from any goroutine.
-type Net struct {
+// Manager owns this gateway's links to all others. Its methods may be called from any goroutine.
+type Manager struct {
 	self   Hello
 	dial   func(addr string, limit time.Duration) (net.Conn, error)
 	handle Handler
 
-	mu     sync.Mutex
-	out    map[string]*way // by address
-	in     map[net.Conn]bool
-	stat   Stats
-	closed bool
-	wg     sync.WaitGroup
+	mu       sync.Mutex
+	outgoing map[string]*outgoing // by address
+	incoming map[net.Conn]bool
+	stats    Stats
+	closed   bool
+	wg       sync.WaitGroup
 }
 
-// New returns a Net that reaches others by dial.
-func New(self Hello, dial func(addr string, limit time.Duration) (net.Conn, error), handle Handler) *Net {
-	return &Net{self: self, dial: dial, handle: handle, out: map[string]*way{}, in: map[net.Conn]bool{}}
+// New returns a Manager that opens connections with dial.
+func New(self Hello, dial func(addr string, limit time.Duration) (net.Conn, error), handle Handler) *Manager {
+	return &Manager{self: self, dial: dial, handle: handle, outgoing: map[string]*outgoing{}, incoming: map[net.Conn]bool{}}
 }
 
-// Send has a message sent to the gateway at an address. It does not wait, and reports whether there was room.
-func (n *Net) Send(addr string, m Message) bool {
+// Send queues a message for the gateway at an address. It does not block, and reports whether the queue had room.
+func (n *Manager) Send(addr string, m Message) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := n.out[addr]
-	if n.closed || len(m.Body) > maxFrame-1024 || w == nil && len(n.out) >= maxPeers {
-		n.stat.Lost++
+	out := n.outgoing[addr]
+	if n.closed || len(m.Body) > maxFrame-1024 || out == nil && len(n.outgoing) >= maxPeers {
+		n.stats.Lost++
 		return false
 	}
-	if w == nil {
-		w = &way{n: n, addr: addr, wake: make(chan struct{}, 1)}
-		n.out[addr] = w
+	if out == nil {
+		out = &outgoing{manager: n, addr: addr, wake: make(chan struct{}, 1)}
+		n.outgoing[addr] = out
 		n.wg.Add(1)
-		go w.run()
+		go out.run()
 	}
-	if w.bytes+len(m.Body) > maxQueue || len(w.queue) >= maxCount {
-		n.stat.Lost++
+	if out.bytes+len(m.Body) > maxQueueBytes || len(out.queue) >= maxQueueMessages {
+		n.stats.Lost++
 		return false
 	}
-	w.queue, w.bytes = append(w.queue, m), w.bytes+len(m.Body)
+	out.queue, out.bytes = append(out.queue, m), out.bytes+len(m.Body)
 	select {
-	case w.wake <- struct{}{}:
+	case out.wake <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// Renumber changes the number of this gateway's life. Open connections end, since they were begun under the former one: the next
-// message to each gateway begins another.
-func (n *Net) Renumber(life uint64) {
+// Renumber changes this gateway's incarnation number. Outgoing connections are closed, since their Hello carried the former
+// number: the next message to each gateway opens a new one.
+func (n *Manager) Renumber(incarnation uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.self.Life = life
-	for _, w := range n.out {
-		if w.over = true; w.conn != nil {
-			w.conn.Close()
+	n.self.Incarnation = incarnation
+	for _, out := range n.outgoing {
+		if out.superseded = true; out.conn != nil {
+			out.conn.Close()
 		}
-		close(w.wake)
+		close(out.wake)
 	}
-	clear(n.out)
+	clear(n.outgoing)
 }
 
-// Stats returns what has been sent.
-func (n *Net) Stats() Stats {
+// Stats returns the counters so far.
+func (n *Manager) Stats() Stats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s := n.stat
-	s.Peers = len(n.out)
+	s := n.stats
+	s.Peers = len(n.outgoing)
 	return s
 }
 
 // Close ends every connection.
-func (n *Net) Close() {
+func (n *Manager) Close() {
 	n.mu.Lock()
 	n.closed = true
-	for _, w := range n.out {
-		if w.conn != nil {
-			w.conn.Close()
+	for _, out := range n.outgoing {
+		if out.conn != nil {
+			out.conn.Close()
 		}
-		close(w.wake)
+		close(out.wake)
 	}
-	n.out = map[string]*way{}
-	for c := range n.in {
+	n.outgoing = map[string]*outgoing{}
+	for c := range n.incoming {
 		c.Close()
 	}
 	n.mu.Unlock()
 	n.wg.Wait()
 }
 
-// Accept serves a connection that has come in, from its first byte on, and returns when it has ended.
-func (n *Net) Accept(c net.Conn) error {
+// Accept serves an incoming connection, of which nothing has been read yet, until it ends.
+func (n *Manager) Accept(c net.Conn) error {
 	n.mu.Lock()
-	if n.closed || len(n.in) >= maxPeers {
+	if n.closed || len(n.incoming) >= maxPeers {
 		n.mu.Unlock()
 		c.Close()
 		return net.ErrClosed
 	}
-	n.in[c] = true
+	n.incoming[c] = true
 	n.mu.Unlock()
 	err := n.serve(c)
 	c.Close()
 	n.mu.Lock()
-	delete(n.in, c)
+	delete(n.incoming, c)
 	n.mu.Unlock()
 	return err
 }
 
-func (n *Net) serve(c net.Conn) error {
+func (n *Manager) serve(c net.Conn) error {
 	r := bufio.NewReader(c)
-	c.SetReadDeadline(time.Now().Add(stuck))
+	c.SetReadDeadline(time.Now().Add(ioTimeout))
 	if b, err := r.ReadByte(); err != nil || b != Magic {
-		return fmt.Errorf("link: not begun as it should: %w", err)
+		return fmt.Errorf("link: connection does not begin with the magic byte: %w", err)
 	}
 	var from Hello
-	if err := next(r, maxHello, &from); err != nil {
+	if err := readFrame(r, maxHello, &from); err != nil {
 		return err
 	}
-	if from.Fleet != n.self.Fleet || from.Major != n.self.Major || from.Name == "" || from.Life == 0 {
-		return fmt.Errorf("link: %q of fleet %q speaks version %d.%d", from.Name, from.Fleet, from.Major, from.Minor)
+	if from.Fleet != n.self.Fleet || from.Major != n.self.Major || from.Name == "" || from.Incarnation == 0 {
+		return fmt.Errorf("link: %q of fleet %q with version %d.%d is not accepted", from.Name, from.Fleet, from.Major, from.Minor)
 	}
 	room := make(chan struct{}, credit)
 	for {
-		c.SetReadDeadline(time.Now().Add(2 * idle))
+		c.SetReadDeadline(time.Now().Add(2 * idleTimeout))
 		var m Message
-		if err := next(r, maxFrame, &m); err != nil {
+		if err := readFrame(r, maxFrame, &m); err != nil {
 			return err
 		}
 		room <- struct{}{}
@@ -189,15 +190,15 @@
 	}
 }
 
-// next reads a frame.
-func next(r io.Reader, limit uint32, v any) error {
+// readFrame reads one frame of at most limit bytes and decodes it into v.
+func readFrame(r io.Reader, limit uint32, v any) error {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return err
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size > limit {
-		return fmt.Errorf("link: a message of %d bytes", size)
+		return fmt.Errorf("link: frame of %d bytes exceeds the limit", size)
 	}
 	b := make([]byte, size)
 	if _, err := io.ReadFull(r, b); err != nil {
--- a/internal/fleet/link/link_test.go
+++ b/internal/fleet/link/link_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// end is one gateway's end on loopback.
-type end struct {
-	*Net
+// endpoint is one gateway's Manager with a listener on loopback. Received messages go to got, results of Accept to errs.
+type endpoint struct {
+	*Manager
 	addr string
 	got  chan string
 	errs chan error
 }
 
-func newEnd(t *testing.T, name, fleet string, handle Handler) *end {
+func newEndpoint(t *testing.T, name, fleet string, handle Handler) *endpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &end{addr: ln.Addr().String(), got: make(chan string, 1000), errs: make(chan error, 100)}
+	e := &endpoint{addr: ln.Addr().String(), got: make(chan string, 1000), errs: make(chan error, 100)}
 	if handle == nil {
-		handle = func(from Hello, m Message, taken func()) {
-			e.got <- fmt.Sprintf("%s.%d %s %s", from.Name, from.Life, m.Part, m.Body)
-			taken()
+		handle = func(from Hello, m Message, done func()) {
+			e.got <- fmt.Sprintf("%s.%d %s %s", from.Name, from.Incarnation, m.Part, m.Body)
+			done()
 		}
 	}
-	e.Net = New(Hello{Fleet: fleet, Name: name, Life: 7, Major: 2}, func(addr string, limit time.Duration) (net.Conn, error) {
+	e.Manager = New(Hello{Fleet: fleet, Name: name, Incarnation: 7, Major: 2}, func(addr string, limit time.Duration) (net.Conn, error) {
 		return net.DialTimeout("tcp", addr, limit)
 	}, handle)
 	go func() {
@@ -46,49 +46,49 @@
 	return e
 }
 
-func (e *end) next(t *testing.T) string {
+func (e *endpoint) next(t *testing.T) string {
 	t.Helper()
 	select {
 	case s := <-e.got:
 		return s
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("no message arrived within 10 s")
 		return ""
 	}
 }
 
-// Messages of several parts come in order over one connection, a large one too; a connection that ends is opened again by
-// the next message.
-func TestMessagesComeInOrder(t *testing.T) {
-	a, b := newEnd(t, "a", "f", nil), newEnd(t, "b", "f", nil)
+// Messages of several parts arrive in order over one connection, including a large one. After the connection has ended, the
+// next message opens a new one.
+func TestMessagesArriveInOrderAndConnectionReopens(t *testing.T) {
+	a, b := newEndpoint(t, "a", "f", nil), newEndpoint(t, "b", "f", nil)
 	for i := range 100 {
 		a.Send(b.addr, Message{fmt.Sprint("p", i%3), fmt.Append(nil, i)})
 	}
 	for i := range 100 {
 		if got, want := b.next(t), fmt.Sprintf("a.7 p%d %d", i%3, i); got != want {
-			t.Fatalf("%q, want %q", got, want)
+			t.Fatalf("received %q, want %q", got, want)
 		}
 	}
 	big := bytes.Repeat([]byte("x"), 2<<20)
 	a.Send(b.addr, Message{"big", big})
 	if got := b.next(t); !strings.HasSuffix(got, string(big)) {
-		t.Error("a large message is not whole")
+		t.Error("a large message is incomplete")
 	}
 	b.mu.Lock()
-	for c := range b.in {
+	for c := range b.incoming {
 		c.Close()
 	}
 	b.mu.Unlock()
 	<-b.errs
-	for { // what was on its way may be lost, and who sends says it again
+	for { // messages in flight may be lost, so the sender repeats them
 		a.Send(b.addr, Message{"p", []byte("again")})
 		select {
 		case got := <-b.got:
 			if got != "a.7 p again" {
-				t.Errorf("%q", got)
+				t.Errorf("received %q, want the repeated message", got)
 			}
 			if s := a.Stats(); s.Sent < 101 || s.Peers != 1 {
-				t.Errorf("%+v", s)
+				t.Errorf("statistics after reconnecting: %+v", s)
 			}
 			return
 		case <-time.After(20 * time.Millisecond):
@@ -96,15 +96,16 @@
 	}
 }
 
-// A receiver that does not take what comes is felt by the sender: what waits is bounded, the rest dropped and counted.
-func TestSlowReceiverIsBounded(t *testing.T) {
+// A receiver that does not handle its messages bounds what is read: the sender's queue fills up to its limit, and further
+// messages are dropped and counted.
+func TestSlowReceiverBoundsSenderQueue(t *testing.T) {
 	hold := make(chan struct{})
 	seen := make(chan bool, 10_000)
-	b := newEnd(t, "b", "f", func(_ Hello, _ Message, taken func()) {
+	b := newEndpoint(t, "b", "f", func(_ Hello, _ Message, done func()) {
 		seen <- true
-		go func() { <-hold; taken() }()
+		go func() { <-hold; done() }()
 	})
-	a := newEnd(t, "a", "f", nil)
+	a := newEndpoint(t, "a", "f", nil)
 	body := make([]byte, 64<<10)
 	dropped := 0
 	for range 3000 {
@@ -120,16 +121,17 @@
 	}
 	select {
 	case <-seen:
-		t.Error("more is read than there is credit for")
-	case <-time.After(50 * time.Millisecond): // nothing may come
+		t.Error("more messages are read than the credit allows")
+	case <-time.After(50 * time.Millisecond): // no further message may arrive
 	}
 	close(hold)
 }
 
-// Who is of another fleet or another version, or talks nonsense, is cut off and named; nothing of it is heard.
-func TestStrangersAreNotHeard(t *testing.T) {
-	b := newEnd(t, "b", "f", nil)
-	a := newEnd(t, "a", "other", nil)
+// A connection from another fleet, or one that does not follow the protocol, is closed with an error, and none of its
+// messages is handled.
+func TestForeignAndInvalidConnectionsAreRejected(t *testing.T) {
+	b := newEndpoint(t, "b", "f", nil)
+	a := newEndpoint(t, "a", "other", nil)
 	a.Send(b.addr, Message{"p", nil})
 	if err := <-b.errs; err == nil || !strings.Contains(err.Error(), "other") {
 		t.Errorf("another fleet: %v", err)
@@ -141,11 +143,11 @@
 		}
 		c.Write([]byte(text))
 		if err := <-b.errs; err == nil {
-			t.Errorf("%q is taken", text)
+			t.Errorf("%q is accepted", text)
 		}
 		c.Close()
 	}
 	if len(b.got) > 0 {
-		t.Errorf("heard %q", <-b.got)
+		t.Errorf("a rejected message was handled: %q", <-b.got)
 	}
 }
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// broadcast is a piece of news on its way.
+// broadcast is a message in memberlist's queue of broadcasts.
 type broadcast []byte
 
 func (n broadcast) Invalidates(memberlist.Broadcast) bool { return false }
@@ -18,125 +18,129 @@
 
 func (n broadcast) Finished() {}
 
-// What memberlist asks and tells.
+// The methods that memberlist calls.
 
-// NodeMeta returns this gateway's card.
+// NodeMeta returns this gateway's encoded metadata.
 func (t *Transport) NodeMeta(limit int) []byte {
-	b, err := msgpack.Marshal(t.card.Load())
+	b, err := msgpack.Marshal(t.metadata.Load())
 	if err != nil || len(b) > limit {
-		t.trouble(fmt.Sprintf("a card of %d bytes is not told", len(b)))
+		t.reportOnce(fmt.Sprintf("metadata of %d bytes is too large to be sent", len(b)))
 		return nil
 	}
 	return b
 }
 
-// NotifyMsg takes a piece of news.
+// NotifyMsg handles a broadcast message from another gateway.
 func (t *Transport) NotifyMsg(b []byte) {
 	if len(b) > maxBroadcast {
 		return
 	}
-	t.h.Broadcast(append([]byte(nil), b...))
+	t.handler.Broadcast(append([]byte(nil), b...))
 }
 
-// GetBroadcasts returns the news that goes with the next datagram.
+// GetBroadcasts returns the queued broadcasts that fit into the next datagram.
 func (t *Transport) GetBroadcasts(overhead, limit int) [][]byte {
 	return t.queue.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns what this gateway knows.
+// LocalState returns the state that this gateway sends in an exchange with another one.
 func (t *Transport) LocalState(bool) []byte {
-	b := t.h.LocalState()
+	b := t.handler.LocalState()
 	if len(b) > maxState {
-		t.trouble(fmt.Sprintf("what is known takes %d bytes and is not told", len(b)))
+		t.reportOnce(fmt.Sprintf("state of %d bytes is too large to be sent", len(b)))
 		return nil
 	}
 	return b
 }
 
-// MergeRemoteState takes what another one knows.
+// MergeRemoteState handles the state that another gateway has sent in an exchange.
 func (t *Transport) MergeRemoteState(b []byte, _ bool) {
 	switch {
 	case len(b) == 0:
 	case len(b) > maxState:
-		t.trouble(fmt.Sprintf("what another gateway knows takes %d bytes and is not heard", len(b)))
+		t.reportOnce(fmt.Sprintf("state of %d bytes from another gateway is too large and is ignored", len(b)))
 	default:
-		t.h.RemoteState(append([]byte(nil), b...))
+		t.handler.RemoteState(append([]byte(nil), b...))
 	}
 }
 
-func (t *Transport) event(n *memberlist.Node, found State) {
-	c, err := cardOf(n)
+// event reports an observation of a gateway to the handler. detected is Joining for a gateway that is alive, whose own state is
+// reported then, and else the state that was detected.
+func (t *Transport) event(n *memberlist.Node, detected State) {
+	c, err := metadataOf(n)
 	if err != nil {
-		t.trouble(err.Error())
+		t.reportOnce(err.Error())
 		return
 	}
-	t.addrs.Store(c.Name, route{n.Address(), found == Joining})
-	e := Event{Card: c, State: c.State}
-	if found != Joining {
-		e.State = found
+	t.routes.Store(c.Name, route{n.Address(), detected == Joining})
+	e := Event{Metadata: c, State: c.State}
+	if detected != Joining {
+		e.State = detected
 	}
-	t.h.Event(e)
+	t.handler.Event(e)
 }
 
-func cardOf(n *memberlist.Node) (c Metadata, err error) {
+// metadataOf decodes and checks the metadata of a memberlist node.
+func metadataOf(n *memberlist.Node) (c Metadata, err error) {
 	if err := msgpack.Unmarshal(n.Meta, &c); err != nil {
-		return c, fmt.Errorf("member: what %s says of itself is not understood: %w", n.Name, err)
+		return c, fmt.Errorf("member: metadata of %s can't be decoded: %w", n.Name, err)
 	}
 	if c.Name != n.Name {
-		return c, fmt.Errorf("member: %s says that it is %s", n.Name, c.Name)
+		return c, fmt.Errorf("member: metadata of %s has the name %s", n.Name, c.Name)
 	}
 	return c, c.Check()
 }
 
-// NotifyJoin takes that another gateway is there.
+// NotifyJoin handles that another gateway has joined.
 func (t *Transport) NotifyJoin(n *memberlist.Node) { t.event(n, Joining) }
 
-// NotifyUpdate takes that another gateway tells something else of itself.
+// NotifyUpdate handles that another gateway has changed its metadata.
 func (t *Transport) NotifyUpdate(n *memberlist.Node) { t.event(n, Joining) }
 
-// NotifyLeave takes that another gateway has gone.
+// NotifyLeave handles that another gateway has left or has been declared dead.
 func (t *Transport) NotifyLeave(n *memberlist.Node) {
-	if c, err := cardOf(n); err == nil && c.State == Draining { // it has said so before; memberlist does not tell the two apart here
+	if c, err := metadataOf(n); err == nil && c.State == Draining { // announced before leaving; memberlist itself calls both cases a leave
 		t.event(n, Left)
 	} else {
 		t.event(n, Gone)
 	}
 }
 
-// NotifyConflict hears that two processes have one name at two addresses.
+// NotifyConflict handles that two processes use one name at two addresses.
 func (t *Transport) NotifyConflict(a, b *memberlist.Node) {
 	for _, n := range []*memberlist.Node{a, b} {
-		if n.Name == t.o.Self.Name {
+		if n.Name == t.opts.Self.Name {
 			t.event(n, Joining)
 		}
 	}
-	t.trouble(fmt.Sprintf("the name %s is at %s and at %s", a.Name, a.Address(), b.Address()))
+	t.reportOnce(fmt.Sprintf("two processes use the name %s: at %s and at %s", a.Name, a.Address(), b.Address()))
 }
 
-// NotifyAlive refuses who can't be understood.
+// NotifyAlive rejects a gateway whose metadata is invalid.
 func (t *Transport) NotifyAlive(n *memberlist.Node) error {
-	_, err := cardOf(n)
+	_, err := metadataOf(n)
 	if err != nil {
-		t.trouble(err.Error())
+		t.reportOnce(err.Error())
 	}
 	return err
 }
 
-// trouble tells something once.
-func (t *Transport) trouble(what string) {
-	if _, told := t.said.LoadOrStore(what, true); !told {
-		t.h.Trouble(what)
+// reportOnce reports a problem to the handler, unless it has been reported before.
+func (t *Transport) reportOnce(what string) {
+	if _, reported := t.reported.LoadOrStore(what, true); !reported {
+		t.handler.ReportProblem(what)
 	}
 }
 
-// logWriter takes memberlist's own log. What it calls errors are mostly peers that are not there.
+// logWriter receives memberlist's log. Its errors and warnings are logged at debug level, since most of them are about peers
+// that are not reachable.
 type logWriter struct{ t *Transport }
 
 func (l *logWriter) Write(b []byte) (int, error) {
 	text := strings.TrimSpace(string(b))
 	switch {
-	case strings.Contains(text, "label"): // another fleet, or nobody's
-		l.t.trouble("a message of another fleet is not heard")
+	case strings.Contains(text, "label"): // the label of another fleet, or none
+		l.t.reportOnce("a message of another fleet is not heard")
 	case strings.HasPrefix(text, "[ERR]"), strings.HasPrefix(text, "[WARN]"):
 		l.t.log.Debug(text)
 	}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,5 +1,5 @@
-// Package member knows which gateways of the fleet are there. What is decided about them is in this file, which is pure;
-// transport.go brings the news over hashicorp/memberlist.
+// Package member tracks which gateways of the fleet are alive. The decisions about them are in this file, which does no I/O;
+// transport.go exchanges the underlying messages by hashicorp/memberlist.
 package member
 
 import (
@@ -10,39 +10,40 @@
 	"time"
 )
 
-// Incarnation is one incarnation of a gateway: one life of a process. Of two lives of a name the greater one is the later. Tag is
-// drawn at random, so that two lives that took the same number, with both disks lost and both clocks wrong, still differ.
+// Incarnation identifies one process of a gateway. Of two incarnations of a name the greater one is the later. Tag is drawn at
+// random, so that two processes that took the same number, with both disks lost and both clocks wrong, still differ.
 type Incarnation struct {
-	N   uint64
-	Tag uint64
+	Number uint64 `msgpack:"N"`
+	Tag    uint64
 }
 
-// Compare orders lives.
-func (l Incarnation) Compare(o Incarnation) int {
-	return cmp.Or(cmp.Compare(l.N, o.N), cmp.Compare(l.Tag, o.Tag))
+// Compare orders incarnations by number, then by tag.
+func (i Incarnation) Compare(other Incarnation) int {
+	return cmp.Or(cmp.Compare(i.Number, other.Number), cmp.Compare(i.Tag, other.Tag))
 }
 
-// Next is the life of a process that starts: later than the one on disk, than what others have heard of, and, where
-// neither is known, than what the clock makes likely.
-func Next(stored, heard uint64, clock time.Duration, tag uint64) Incarnation {
-	n := max(stored, heard) + 1
-	if stored == 0 { // the disk is empty: the clock grows faster than starts do
+// Next returns the incarnation of a process that starts. It is later than the one stored on disk and than the one observed by
+// peers. If nothing is stored on disk, the number is at least the clock's reading in milliseconds, which is likely to be later
+// than any former incarnation.
+func Next(stored, observed uint64, clock time.Duration, tag uint64) Incarnation {
+	n := max(stored, observed) + 1
+	if stored == 0 { // the clock grows faster than the number of starts
 		n = max(n, uint64(max(0, clock/time.Millisecond)))
 	}
 	return Incarnation{n, tag}
 }
 
-// State is how far a gateway has come, as the others see it.
+// State is the state of a gateway as its peers see it.
 type State uint8
 
-// The states. Joining to Draining are what a gateway says of itself, the others are what is found of it.
+// The states. A gateway announces Joining, Serving and Draining itself; its peers detect the others.
 const (
 	Joining State = iota
 	Serving
 	Draining
-	Suspected // it answers nobody
-	Gone      // it was given up
-	Left      // it said so
+	Suspected // it does not answer probes
+	Gone      // it did not answer within the suspicion time
+	Left      // it announced that it leaves
 )
 
 var stateNames = [...]string{"joining", "serving", "draining", "suspected", "gone", "left"}
@@ -54,172 +55,174 @@
 	return fmt.Sprintf("state %d", uint8(s))
 }
 
-// Version is that of the messages. Another one with the same Major is understood.
+// The version of the messages between gateways. Versions with the same Major are compatible.
 const (
 	Major = 2
 	Minor = 0
 )
 
-// Metadata is what a gateway says of itself.
+// Metadata is what a gateway publishes about itself.
 type Metadata struct {
 	Name         string
-	Life         Incarnation
+	Incarnation  Incarnation `msgpack:"Life"`
 	State        State
 	Hall         int
 	Major, Minor uint8
 }
 
 const (
-	maxName = 64
-	maxKept = 4096 // names that are remembered
+	maxName  = 64
+	maxPeers = 4096 // gateways that a View tracks
 )
 
-// Check reports what no card can hold.
-func (c *Metadata) Check() error {
+// Check returns an error if a field is out of its range, or if the major version differs from this gateway's.
+func (m *Metadata) Check() error {
 	switch {
-	case c.Name == "" || len(c.Name) > maxName:
-		return fmt.Errorf("member: name %q", c.Name[:min(len(c.Name), maxName)])
-	case c.Major != Major:
-		return fmt.Errorf("member: %s speaks version %d.%d, this gateway %d.%d", c.Name, c.Major, c.Minor, Major, Minor)
-	case c.State > Draining:
-		return fmt.Errorf("member: %s says of itself that it is %v", c.Name, c.State)
-	case c.Life.N == 0:
-		return fmt.Errorf("member: %s has no incarnation", c.Name)
+	case m.Name == "" || len(m.Name) > maxName:
+		return fmt.Errorf("member: name is empty or too long: %q", m.Name[:min(len(m.Name), maxName)])
+	case m.Major != Major:
+		return fmt.Errorf("member: %s has version %d.%d, this gateway %d.%d", m.Name, m.Major, m.Minor, Major, Minor)
+	case m.State > Draining:
+		return fmt.Errorf("member: %s announces state %v, which only peers may detect", m.Name, m.State)
+	case m.Incarnation.Number == 0:
+		return fmt.Errorf("member: %s has no incarnation", m.Name)
 	}
 	return nil
 }
 
-// Event is something that has become known of another gateway.
+// Event is an observation of another gateway.
 type Event struct {
-	Card  Metadata
-	State State // Card's own, or what was found
+	Metadata Metadata
+	State    State // the state in Metadata, or the state that was detected
 }
 
-// Transition is to be done about an event.
+// Transition is the effect of an event on the view.
 type Transition int
 
-// The kinds of news.
+// The transitions.
 const (
-	Nothing    Transition = iota
-	Came                  // a new life of a gateway
-	Changed               // its state
-	Stale                 // of a life that was followed by a later one: not to be heeded
-	Namesake              // another process has this gateway's name, and is an earlier life: it has to go
-	Superseded            // it is the later life: this process must not act for the name any more
+	Nothing        Transition = iota
+	NewIncarnation            // a gateway is new, or has a later incarnation
+	Changed                   // the gateway's state has changed
+	Stale                     // the event is of an earlier incarnation than the known one, and is ignored
+	DuplicateName             // another process has this gateway's name, with an earlier incarnation; it has to leave the fleet
+	Superseded                // another process has this gateway's name, with a later incarnation; this process must stop using it
 )
 
-// View is what a gateway knows of the fleet. It belongs to one goroutine.
+// View is what a gateway knows about the fleet. It must be used by one goroutine only.
 type View struct {
-	self   Metadata
-	others map[string]Event
-	over   bool // a later life of this name has been heard of
-	sure   bool // others are known to hear this process
-	beat   time.Duration
+	self       Metadata
+	peers      map[string]Event
+	superseded bool // a later incarnation of this name has been observed
+	confirmed  bool // false after a pause of this process, until a peer has answered
+	lastBeat   time.Duration
 }
 
-// pauseLimit is the longest time between two beats after which a process can't know what has become of its place among
-// the others. They give it up after about that time.
+// pauseLimit is the longest time between two heartbeats after which a process may still assume that it is a member of the
+// fleet. Its peers declare it gone after about that time without an answer.
 const pauseLimit = 2 * time.Second
 
-// NewView returns the view of a process that has heard nobody yet.
+// NewView returns the view of a process that has not received anything from a peer.
 func NewView(self Metadata, now time.Duration) *View {
-	return &View{self: self, others: map[string]Event{}, sure: true, beat: now}
+	return &View{self: self, peers: map[string]Event{}, confirmed: true, lastBeat: now}
 }
 
-// Self is the process's own card.
+// Self returns this process's own metadata.
 func (v *View) Self() Metadata { return v.self }
 
-// Renumber gives the process a later incarnation. It reports whether it may have one: it is later than its own, and no later process
-// of its name is known to be there.
-func (v *View) Renumber(life Incarnation) bool {
-	if v.over || life.Compare(v.self.Life) <= 0 {
+// Renumber changes this process's incarnation. It changes nothing and returns false if the new one is not later than the present
+// one, or if a later process of the same name has been observed.
+func (v *View) Renumber(incarnation Incarnation) bool {
+	if v.superseded || incarnation.Compare(v.self.Incarnation) <= 0 {
 		return false
 	}
-	v.self.Life = life
+	v.self.Incarnation = incarnation
 	return true
 }
 
-// Become changes the process's own state.
-func (v *View) Become(s State) { v.self.State = s }
+// SetState changes this process's own state.
+func (v *View) SetState(s State) { v.self.State = s }
 
-// Observe takes in an event. Of a name only the latest life counts; within one life the last word does.
+// Observe applies an event. Of each name only the latest incarnation counts, and within an incarnation the last event.
 func (v *View) Observe(e Event) Transition {
-	if e.Card.Name == v.self.Name {
-		switch d := e.Card.Life.Compare(v.self.Life); {
-		case d == 0 || e.State >= Suspected: // itself, or the end of an earlier life
+	if e.Metadata.Name == v.self.Name {
+		switch d := e.Metadata.Incarnation.Compare(v.self.Incarnation); {
+		case d == 0 || e.State >= Suspected: // this process itself, or the end of an earlier one
 			return Nothing
 		case d > 0:
-			v.over = true
+			v.superseded = true
 			return Superseded
 		}
-		return Namesake
+		return DuplicateName
 	}
-	old, known := v.others[e.Card.Name]
+	old, known := v.peers[e.Metadata.Name]
 	if known {
-		switch d := e.Card.Life.Compare(old.Card.Life); {
+		switch d := e.Metadata.Incarnation.Compare(old.Metadata.Incarnation); {
 		case d < 0:
 			return Stale
 		case d == 0 && old.State == e.State:
 			return Nothing
 		case d == 0:
-			v.others[e.Card.Name] = e
+			v.peers[e.Metadata.Name] = e
 			return Changed
 		}
-	} else if len(v.others) >= maxKept {
-		v.forget()
+	} else if len(v.peers) >= maxPeers {
+		v.dropUnreachable()
 	}
-	v.others[e.Card.Name] = e
+	v.peers[e.Metadata.Name] = e
 	if e.State >= Suspected {
 		return Changed
 	}
-	return Came
+	return NewIncarnation
 }
 
-// forget drops the names that are gone, to make room.
-func (v *View) forget() {
-	maps.DeleteFunc(v.others, func(_ string, e Event) bool { return e.State >= Suspected })
+// dropUnreachable forgets gateways that are suspected, gone or have left, to make room for new ones.
+func (v *View) dropUnreachable() {
+	maps.DeleteFunc(v.peers, func(_ string, e Event) bool { return e.State >= Suspected })
 }
 
-// Heard is the highest number of a life that was heard of a name.
-func (v *View) Heard(name string) uint64 { return v.others[name].Card.Life.N }
+// LatestIncarnation returns the highest incarnation number that was observed of another gateway, 0 if it is unknown.
+func (v *View) LatestIncarnation(name string) uint64 {
+	return v.peers[name].Metadata.Incarnation.Number
+}
 
-// Beat says that the process runs. It is called several times a second; a gap says that the process stood still, and
-// until Confirm it must not act on anything shared. It returns false at such a gap.
-func (v *View) Beat(now time.Duration) bool {
-	gap := now - v.beat
-	v.beat = now
-	if gap > pauseLimit && len(v.others) > 0 {
-		v.sure = false
+// Heartbeat records that the process runs. It is called several times a second. A gap of more than pauseLimit means that the
+// process was paused: Heartbeat then returns false, and the process must not act on shared state until ConfirmContact.
+func (v *View) Heartbeat(now time.Duration) bool {
+	gap := now - v.lastBeat
+	v.lastBeat = now
+	if gap > pauseLimit && len(v.peers) > 0 {
+		v.confirmed = false
 		return false
 	}
 	return true
 }
 
-// Confirm says that the others hear this process again and that it has heard what they know.
-func (v *View) Confirm() { v.sure = true }
+// ConfirmContact records that, after a pause, this process has exchanged its state with a peer.
+func (v *View) ConfirmContact() { v.confirmed = true }
 
-// May reports whether the process may act on what the fleet shares: it has not stood still unnoticed, and no later life
-// of its name is there.
-func (v *View) May() bool { return v.sure && !v.over }
+// MayAct reports whether this process may act on shared state: contact is confirmed since its last pause, and no later
+// incarnation of its name has been observed.
+func (v *View) MayAct() bool { return v.confirmed && !v.superseded }
 
-// Others are the gateways that were ever heard of, this one left out, in the order of their names.
-func (v *View) Others() (out []Event) {
-	for _, name := range slices.Sorted(maps.Keys(v.others)) {
-		out = append(out, v.others[name])
+// Peers returns the last event of each known gateway other than this one, alive or not, sorted by name.
+func (v *View) Peers() (out []Event) {
+	for _, name := range slices.Sorted(maps.Keys(v.peers)) {
+		out = append(out, v.peers[name])
 	}
 	return out
 }
 
-// Other is what is known of a gateway.
-func (v *View) Other(name string) (Event, bool) {
-	e, ok := v.others[name]
+// Peer returns the last event of another gateway, if it is known.
+func (v *View) Peer(name string) (Event, bool) {
+	e, ok := v.peers[name]
 	return e, ok
 }
 
-// Alive is the number of gateways that are there, this one too.
+// Alive returns the number of gateways that are alive, including this one.
 func (v *View) Alive() int {
 	n := 1
-	for _, e := range v.others {
+	for _, e := range v.peers {
 		if e.State < Suspected {
 			n++
 		}
--- a/internal/fleet/member/reach.go
+++ b/internal/fleet/member/reach.go
@@ -4,16 +4,16 @@
 	"quillrail/internal/fleet/link"
 )
 
-// route is where a gateway is reached, and whether it is there.
+// route is the address of a gateway, and whether the gateway is alive.
 type route struct {
 	addr  string
-	there bool
+	alive bool
 }
 
-// there are the addresses of the other gateways that are there.
-func (t *Transport) there() (addrs []string) {
-	t.addrs.Range(func(name, p any) bool {
-		if p := p.(route); p.there && name != t.o.Self.Name {
+// aliveAddrs returns the addresses of the other gateways that are alive.
+func (t *Transport) aliveAddrs() (addrs []string) {
+	t.routes.Range(func(name, p any) bool {
+		if p := p.(route); p.alive && name != t.opts.Self.Name {
 			addrs = append(addrs, p.addr)
 		}
 		return true
@@ -21,23 +21,23 @@
 	return addrs
 }
 
-// Send has a message sent to one gateway, over the link to it. It reports whether there was room.
+// Send queues a message for one gateway on the link to it. It returns false if the gateway is unknown or the queue is full.
 func (t *Transport) Send(to string, m link.Message) bool {
-	addr, ok := t.addrs.Load(to)
+	addr, ok := t.routes.Load(to)
 	return ok && t.links.Send(addr.(route).addr, m)
 }
 
-// SendAll has a message sent to each of the others: for what must not be late. Gossip reaches all in the end, but one in
-// nine only after two seconds now and then.
+// SendAll queues a message for each gateway that is alive, on the links. It is for messages that must not be late: gossip
+// reaches all gateways eventually, but now and then one in nine only after two seconds.
 func (t *Transport) SendAll(m link.Message) {
-	for _, addr := range t.there() {
+	for _, addr := range t.aliveAddrs() {
 		t.links.Send(addr, m)
 	}
 }
 
-// Ask exchanges what is known with another gateway that is there. It reports whether one has answered.
-func (t *Transport) Ask() bool {
-	for _, addr := range t.there() {
+// Sync exchanges state with one gateway that is alive, trying one after the other. It reports whether one has answered.
+func (t *Transport) Sync() bool {
+	for _, addr := range t.aliveAddrs() {
 		if n, err := t.list.Join([]string{addr}); err == nil && n > 0 {
 			return true
 		}
--- a/internal/fleet/member/shared_transport.go
+++ b/internal/fleet/member/shared_transport.go
@@ -11,50 +11,51 @@
 )
 
 const (
-	firstByte = 3 * time.Second // for a connection to say whose it is
-	waiting   = 64              // connections of memberlist's that wait to be served
+	firstByteTimeout = 3 * time.Second // for the first byte of an incoming connection, which tells its protocol
+	maxPendingConns  = 64              // connections that memberlist has not accepted yet
 )
 
-// sharedTransport has memberlist and the links share sockets: datagrams and connections at one address. Other gateways are
-// reached by the address that they name, or by another one where via says so.
+// sharedTransport lets memberlist and the links share one address for datagrams and connections. Other gateways are reached at
+// the address that they announce, or at another one if via maps it.
 type sharedTransport struct {
 	*memberlist.NetTransport
-	via    map[string]string
-	stream chan net.Conn
-	links  func(net.Conn)
-	stop   chan struct{} // closed once the sockets are
+	via        map[string]string
+	stream     chan net.Conn
+	acceptLink func(net.Conn)
+	stopped    chan struct{} // closed after the sockets
 
-	closing chan struct{} // closed before: nothing is handed on any more, but all is read, since the sockets' readers wait for that
-	host    net.IP        // that is bound
-	network Network       // nil for the machine's own
+	closing chan struct{} // closed before the sockets: data is read but dropped, since the sockets' readers block until it is read
+	host    net.IP        // the bound address
+	network Network       // nil for the machine's network
 	packets chan *memberlist.Packet
 	traffic traffic
 }
 
-func newSharedTransport(inner *memberlist.NetTransport, host net.IP, o Options, links func(net.Conn)) *sharedTransport {
-	w := &sharedTransport{NetTransport: inner, host: host, via: o.Via, network: o.Network, stream: make(chan net.Conn, waiting), links: links,
-		stop: make(chan struct{}), closing: make(chan struct{}), packets: make(chan *memberlist.Packet)}
-	go w.sort()
+// newSharedTransport serves the sockets of inner. acceptLink is called, on a goroutine of its own, with each incoming link.
+func newSharedTransport(inner *memberlist.NetTransport, host net.IP, opts Options, acceptLink func(net.Conn)) *sharedTransport {
+	w := &sharedTransport{NetTransport: inner, host: host, via: opts.Via, network: opts.Network, stream: make(chan net.Conn, maxPendingConns),
+		acceptLink: acceptLink, stopped: make(chan struct{}), closing: make(chan struct{}), packets: make(chan *memberlist.Packet)}
+	go w.sortConnections()
 	go w.receivePackets()
 	return w
 }
 
-// sort tells connections apart by their first byte.
-func (w *sharedTransport) sort() {
+// sortConnections passes incoming connections to memberlist or to the links, by their first byte.
+func (w *sharedTransport) sortConnections() {
 	for {
 		select {
 		case c := <-w.NetTransport.StreamCh():
 			go func() {
-				c := &counted{c, w}
-				p := &peeked{Conn: c, r: bufio.NewReader(c)}
-				c.SetReadDeadline(time.Now().Add(firstByte))
+				c := &countedConn{c, w}
+				p := &peekedConn{Conn: c, r: bufio.NewReader(c)}
+				c.SetReadDeadline(time.Now().Add(firstByteTimeout))
 				b, err := p.r.Peek(1)
 				c.SetReadDeadline(time.Time{})
 				switch {
 				case err != nil:
 					c.Close()
 				case b[0] == link.Magic:
-					w.links(p)
+					w.acceptLink(p)
 				default:
 					select {
 					case w.stream <- p:
@@ -63,29 +64,29 @@
 					}
 				}
 			}()
-		case <-w.stop:
+		case <-w.stopped:
 			return
 		}
 	}
 }
 
-// peeked is a connection of which the first bytes have been looked at.
-type peeked struct {
+// peekedConn is a connection whose first byte has been read into the buffer of r.
+type peekedConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (p *peeked) Read(b []byte) (int, error) { return p.r.Read(b) }
+func (p *peekedConn) Read(b []byte) (int, error) { return p.r.Read(b) }
 
-// at is where a gateway is reached that names an address as its own.
-func (w *sharedTransport) at(addr string) string {
-	if a, ok := w.via[addr]; ok {
-		return a
+// resolve returns the address at which a gateway is reached that announces addr.
+func (w *sharedTransport) resolve(addr string) string {
+	if mapped, ok := w.via[addr]; ok {
+		return mapped
 	}
 	return addr
 }
 
-// What memberlist asks of a transport.
+// The methods that memberlist requires of a transport.
 
 func (w *sharedTransport) StreamCh() <-chan net.Conn           { return w.stream }
 func (w *sharedTransport) PacketCh() <-chan *memberlist.Packet { return w.packets }
@@ -103,6 +104,6 @@
 }
 func (w *sharedTransport) Shutdown() error {
 	close(w.closing)
-	defer close(w.stop)
+	defer close(w.stopped)
 	return w.NetTransport.Shutdown()
 }
--- a/internal/fleet/member/shutdown_test.go
+++ b/internal/fleet/member/shutdown_test.go
@@ -8,9 +8,10 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Transports that end while datagrams still come, and nobody takes them, end: the library's reader of a socket waits until what
-// it has read is taken. Each is ended with a datagram in hand and another one being read.
-func TestTransportEndsWhileMessagesCome(t *testing.T) {
+// A transport shuts down while datagrams still arrive that nobody receives. The library's reader of the socket blocks until the
+// datagram that it has read is received, so that a shutdown that stops receiving would never end. Each transport is shut down
+// with one datagram read and another one being read.
+func TestTransportShutdownWithDatagramsInFlight(t *testing.T) {
 	const message = "message"
 	for range 50 {
 		inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{"127.0.0.1"}})
@@ -30,7 +31,7 @@
 		for w.traffic.received.Load() < uint64(len(message)) {
 			runtime.Gosched()
 		}
-		for range 100 { // lets the reader come to the next one
+		for range 100 { // lets the reader read the next datagram
 			runtime.Gosched()
 		}
 		if err := w.Shutdown(); err != nil {
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -21,110 +21,111 @@
 )
 
 const (
-	maxState     = 2 << 20 // bytes of what a gateway tells one that asks
-	maxBroadcast = 1200    // bytes of a piece of news: it has to fit a datagram
-	maxAsked     = 16      // gateways that one asks when it starts
-	maxWaiting   = 1024    // pieces of news that wait to be told
-	retryEvery   = time.Second
-	leaveLimit   = 300 * time.Millisecond
+	maxState       = 2 << 20 // bytes of the state sent to another gateway
+	maxBroadcast   = 1200    // bytes of a broadcast, which has to fit into a datagram
+	maxJoinSeeds   = 16      // seeds that a gateway contacts
+	maxQueued      = 1024    // broadcasts that may be queued
+	rejoinInterval = time.Second
+	leaveTimeout   = 300 * time.Millisecond
 )
 
-// Options say where and with whom a gateway is.
+// Options configure a Transport.
 type Options struct {
-	Fleet string            // its name; who names another one is not heard
+	Fleet string            // name of the fleet; messages of another fleet are ignored
 	Bind  string            // host:port for datagrams and connections
-	Seeds []string          // host:port of gateways to begin with; this one's own may be among them
-	Via   map[string]string // where gateways are reached that are not at the address they name: that address, the other one
+	Seeds []string          // host:port of gateways to contact at first; this gateway's own may be among them
+	Via   map[string]string // maps the address that a gateway announces to the one at which it is reached, where these differ
 	Self  Metadata
 
-	Network Network // nil for the machine's own
+	Network Network // nil for the machine's network
 }
 
-// Handler is told what comes in, on the transport's goroutines; it must not block. LocalState is asked for what to tell a gateway
-// that asks; it returns what was posted last.
+// Handler receives what arrives, on the transport's goroutines. Its methods must not block.
 type Handler interface {
 	Event(Event)
-	RemoteState(state []byte)                              // what another gateway knows, in answer or unasked
-	Broadcast(message []byte)                              // a piece of news, told to all
-	Message(from link.Hello, m link.Message, taken func()) // told to this gateway; taken once it has been dealt with
-	LocalState() []byte                                    // what this gateway knows
-	Trouble(what string)                                   // something that operators should know
+	RemoteState(state []byte)                             // another gateway's state, requested by this gateway or by the other one
+	Broadcast(message []byte)                             // a message to all gateways
+	Message(from link.Hello, m link.Message, done func()) // a message to this gateway; done has to be called once it has been handled
+	LocalState() []byte                                   // the state to send to other gateways, as it was last published
+	ReportProblem(what string)                            // a problem that operators should know about; each text is reported once
 }
 
-// Transport is this process's place among the others.
+// Transport connects this gateway to the others: memberlist for membership and broadcasts, links for messages to one gateway.
 type Transport struct {
-	list    *memberlist.Memberlist
-	queue   *memberlist.TransmitLimitedQueue
-	links   *link.Net
-	sockets *sharedTransport
-	addrs   sync.Map // by name, the place of every gateway that was ever heard of: memberlist changes its own nodes as it goes
-	h       Handler
-	log     *zap.Logger
-	o       Options
-	card    atomic.Pointer[Metadata]
-	stop    context.CancelFunc
-	done    chan struct{}
-	lost    atomic.Uint64 // pieces of news that found no room
-	said    sync.Map      // troubles that were told already
+	list     *memberlist.Memberlist
+	queue    *memberlist.TransmitLimitedQueue
+	links    *link.Manager
+	sockets  *sharedTransport
+	routes   sync.Map // route of every gateway ever observed, by name; a copy, since memberlist modifies its nodes concurrently
+	handler  Handler
+	log      *zap.Logger
+	opts     Options
+	metadata atomic.Pointer[Metadata]
+	stop     context.CancelFunc
+	done     chan struct{}
+	dropped  atomic.Uint64 // broadcasts that were too large or found the queue full
+	reported sync.Map      // texts of the problems that have been reported
 }
 
-// Open takes the place. It does not wait for anybody: Join does.
-func Open(o Options, h Handler, z *zap.Logger) (*Transport, error) {
-	host, port, err := net.SplitHostPort(o.Bind)
+// Open binds the sockets and starts the transport. It contacts no other gateway; Join does.
+func Open(opts Options, handler Handler, logger *zap.Logger) (*Transport, error) {
+	host, port, err := net.SplitHostPort(opts.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("member: bind: %w", err)
 	}
-	n, err := strconv.ParseUint(port, 10, 16)
+	portNumber, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("member: bind: port %q", port)
+		return nil, fmt.Errorf("member: bind: port is not a number from 0 to 65535: %q", port)
 	}
-	t := &Transport{h: h, log: z, o: o, done: make(chan struct{})}
-	t.card.Store(&o.Self)
-	c := memberlist.DefaultLANConfig()
-	c.Name, c.BindAddr, c.BindPort, c.AdvertiseAddr, c.AdvertisePort = o.Self.Name, host, int(n), host, int(n)
-	sum := sha256.Sum256([]byte(o.Fleet))
-	c.Label = fmt.Sprintf("quillrail-%x", sum[:8])
-	c.Delegate, c.Events, c.Conflict, c.Alive = t, t, t, t
-	c.Logger = log.New(&logWriter{t: t}, "", 0)
-	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: int(n), Logger: c.Logger})
+	t := &Transport{handler: handler, log: logger, opts: opts, done: make(chan struct{})}
+	t.metadata.Store(&opts.Self)
+	config := memberlist.DefaultLANConfig()
+	config.Name, config.BindAddr, config.BindPort, config.AdvertiseAddr, config.AdvertisePort = opts.Self.Name, host, int(portNumber),
+		host, int(portNumber)
+	sum := sha256.Sum256([]byte(opts.Fleet))
+	config.Label = fmt.Sprintf("quillrail-%x", sum[:8])
+	config.Delegate, config.Events, config.Conflict, config.Alive = t, t, t, t
+	config.Logger = log.New(&logWriter{t: t}, "", 0)
+	inner, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: int(portNumber),
+		Logger: config.Logger})
 	if err != nil {
 		return nil, fmt.Errorf("member: %w", err)
 	}
-	var w *sharedTransport
-	hello := link.Hello{Fleet: o.Fleet, Name: o.Self.Name, Life: o.Self.Life.N, Major: Major, Minor: Minor}
+	var sockets *sharedTransport
+	hello := link.Hello{Fleet: opts.Fleet, Name: opts.Self.Name, Incarnation: opts.Self.Incarnation.Number, Major: Major, Minor: Minor}
 	t.links = link.New(hello, func(addr string, limit time.Duration) (net.Conn, error) {
-		return w.dial(addr, limit)
-	}, h.Message)
-	w = newSharedTransport(inner, net.ParseIP(host), o, t.accept)
-	c.Transport, t.sockets = w, w
-	c.TCPTimeout, c.ProbeTimeout, c.ProbeInterval = 500*time.Millisecond, 300*time.Millisecond, 700*time.Millisecond
-	c.SuspicionMult, c.SuspicionMaxTimeoutMult = 3, 2
-	c.GossipInterval, c.PushPullInterval, c.GossipToTheDeadTime = 100*time.Millisecond, 10*time.Second, 10*time.Second
-	c.DeadNodeReclaimTime = time.Second // a name may come back at another address
+		return sockets.dial(addr, limit)
+	}, handler.Message)
+	sockets = newSharedTransport(inner, net.ParseIP(host), opts, t.accept)
+	config.Transport, t.sockets = sockets, sockets
+	config.TCPTimeout, config.ProbeTimeout, config.ProbeInterval = 500*time.Millisecond, 300*time.Millisecond, 700*time.Millisecond
+	config.SuspicionMult, config.SuspicionMaxTimeoutMult = 3, 2
+	config.GossipInterval, config.PushPullInterval, config.GossipToTheDeadTime = 100*time.Millisecond, 10*time.Second, 10*time.Second
+	config.DeadNodeReclaimTime = time.Second // after this time a name may return at another address
 	t.queue = &memberlist.TransmitLimitedQueue{RetransmitMult: 3, NumNodes: func() int {
 		if t.list == nil {
 			return 1
 		}
 		return t.list.NumMembers()
 	}}
-	if t.list, err = memberlist.Create(c); err != nil {
-		w.Shutdown()
+	if t.list, err = memberlist.Create(config); err != nil {
+		sockets.Shutdown()
 		return nil, fmt.Errorf("member: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	t.stop = stop
-	go t.keep(ctx)
+	go t.rejoinSeeds(ctx)
 	return t, nil
 }
 
-// accept serves a link from another gateway.
+// accept serves an incoming link from another gateway.
 func (t *Transport) accept(c net.Conn) {
 	if err := t.links.Accept(c); err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		t.log.Debug("link", zap.Error(err))
 	}
 }
 
-// Join asks the seeds, all at once, and returns how many have answered by limit.
+// Join exchanges state with all seeds at once, and returns how many have answered within limit.
 func (t *Transport) Join(limit time.Duration) int {
 	var wg sync.WaitGroup
 	var n atomic.Int64
@@ -146,25 +147,25 @@
 	return int(n.Load())
 }
 
-// Seeds are the gateways to ask first: those that follow this one in the list of them, at most maxAsked, so that in a large
-// fleet that starts at once nobody is asked by all.
+// Seeds returns the gateways to contact first: those that follow this one in the sorted list of seeds, at most maxJoinSeeds, so
+// that when a large fleet starts at once, no gateway is contacted by all others.
 func (t *Transport) Seeds() []string {
-	all := slices.Sorted(slices.Values(t.o.Seeds))
-	at, _ := slices.BinarySearch(all, t.o.Bind)
+	all := slices.Sorted(slices.Values(t.opts.Seeds))
+	at, _ := slices.BinarySearch(all, t.opts.Bind)
 	var out []string
 	for i := range all {
-		if s := all[(at+i)%len(all)]; s != t.o.Bind && len(out) < maxAsked {
+		if s := all[(at+i)%len(all)]; s != t.opts.Bind && len(out) < maxJoinSeeds {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// keep asks seeds that are not known to be there, again and again: two parts of a fleet that were cut from each other, or
-// began apart, find each other so.
-func (t *Transport) keep(ctx context.Context) {
+// rejoinSeeds contacts, once every rejoinInterval, the seeds that are not known to be alive. This is how two parts of a fleet find
+// each other after a partition, or if they started separately.
+func (t *Transport) rejoinSeeds(ctx context.Context) {
 	defer close(t.done)
-	tick := time.NewTicker(retryEvery)
+	tick := time.NewTicker(rejoinInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -172,53 +173,54 @@
 			return
 		case <-tick.C:
 		}
-		there := map[string]bool{t.o.Bind: true}
-		for _, addr := range t.there() {
-			there[addr] = true
+		alive := map[string]bool{t.opts.Bind: true}
+		for _, addr := range t.aliveAddrs() {
+			alive[addr] = true
 		}
 		for _, s := range t.Seeds() {
-			if !there[s] {
+			if !alive[s] {
 				t.list.Join([]string{s})
 			}
 		}
 	}
 }
 
-// Say changes what this gateway says of itself.
-func (t *Transport) Say(c Metadata) {
-	t.card.Store(&c)
-	go t.list.UpdateNode(leaveLimit)
+// Announce changes this gateway's metadata and sends it to the others.
+func (t *Transport) Announce(c Metadata) {
+	t.metadata.Store(&c)
+	go t.list.UpdateNode(leaveTimeout)
 }
 
-// Renumber has the links to the others begin anew under another number of this process's life.
-func (t *Transport) Renumber(life uint64) { t.links.Renumber(life) }
+// Renumber reopens the links to the others under another incarnation number of this process.
+func (t *Transport) Renumber(incarnation uint64) { t.links.Renumber(incarnation) }
 
-// Broadcast passes a message on to all, without waiting. It reports whether there was room.
-func (t *Transport) Broadcast(what []byte) bool {
-	if len(what) > maxBroadcast || t.queue.NumQueued() >= maxWaiting {
-		t.lost.Add(1)
+// Broadcast queues a message to all gateways, without blocking. It returns false if the message is too large or the queue full.
+func (t *Transport) Broadcast(message []byte) bool {
+	if len(message) > maxBroadcast || t.queue.NumQueued() >= maxQueued {
+		t.dropped.Add(1)
 		return false
 	}
-	t.queue.QueueBroadcast(broadcast(what))
+	t.queue.QueueBroadcast(broadcast(message))
 	return true
 }
 
-// Links are the figures of the links.
+// Links returns the statistics of the links.
 func (t *Transport) Links() link.Stats { return t.links.Stats() }
 
-// Lost is the number of pieces of news that found no room.
-func (t *Transport) Lost() uint64 { return t.lost.Load() }
+// Dropped returns the number of broadcasts that were too large or found the queue full.
+func (t *Transport) Dropped() uint64 { return t.dropped.Load() }
 
-// Close leaves the fleet. With word the others are told, and know that this gateway has not failed.
-func (t *Transport) Close(word bool) {
+// Close shuts the transport down. If announce is set, it first announces that this gateway leaves, so that the others do not
+// take it for failed.
+func (t *Transport) Close(announce bool) {
 	t.stop()
 	<-t.done
-	if word {
-		c := *t.card.Load()
+	if announce {
+		c := *t.metadata.Load()
 		c.State = Draining
-		t.card.Store(&c)
-		t.list.UpdateNode(leaveLimit)
-		t.list.Leave(leaveLimit)
+		t.metadata.Store(&c)
+		t.list.UpdateNode(leaveTimeout)
+		t.list.Leave(leaveTimeout)
 	}
 	t.links.Close()
 	t.list.Shutdown()
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -1,7 +1,7 @@
-// Package fleet has a gateway take part in a fleet. Node is its place among the others: the disk, the transport and the
-// view of who is there; it hosts parts, each of which is one concern. What is decided is in the packages below, which are
-// pure; this one runs them on the gateway's turn and carries their decisions out. Nothing here waits for a disk or a peer
-// on the turn.
+// Package fleet makes a gateway a member of a fleet. Node owns the disk store, the transport to other gateways and the view of
+// which of them are alive. It hosts parts, each of which handles one concern. Decisions are made in the packages below, which do
+// no I/O; this package runs them on the gateway's event loop and carries out what they decide. The event loop never waits for a
+// disk or for another gateway.
 package fleet
 
 import (
@@ -18,49 +18,49 @@
 )
 
 const (
-	tickEvery  = 100 * time.Millisecond
-	saveEvery  = time.Second
-	askAgain   = 30 * time.Millisecond  // while somebody has not answered
-	closeLimit = 500 * time.Millisecond // for the disk and the others, at the end
+	tickInterval   = 100 * time.Millisecond
+	saveInterval   = time.Second
+	joinRetryDelay = 30 * time.Millisecond  // while a seed has not answered
+	closeTimeout   = 500 * time.Millisecond // for the last write to disk
 )
 
-// Node is a gateway's place in the fleet. Its methods are called on the turn unless they say otherwise.
+// Node is a gateway's membership of the fleet. Its methods are called on the event loop.
 type Node struct {
 	loop     *core.Loop
 	settings *Settings
 	name     string
 	hall     int
 	log      *zap.Logger
-	boot     func() (boot string, up time.Duration)
+	readBoot func() (boot string, up time.Duration)
 	parts    []Part
 
-	view       *member.View
-	life       member.Incarnation
-	db         *store.Store
-	found      map[string][]byte // on disk, while the parts begin
-	net        *member.Transport
-	begun      bool // the disk has been read, or given up
-	joined     bool // the others have been asked
-	since      time.Duration
-	ended      bool
-	asked      bool // the others have been asked again after a pause
-	savedAt    time.Duration
-	localState atomic.Pointer[[]byte]
-	unsent     int // broadcasts that found no room
-	network    member.Network
+	view          *member.View
+	incarnation   member.Incarnation
+	db            *store.Store
+	storedEntries map[string][]byte // entries found on disk; set only while the parts begin
+	transport     *member.Transport
+	begun         bool          // the disk has been read, or has not answered in time
+	joined        bool          // the seeds have answered, or have not in time
+	stageStart    time.Duration // when reading the disk, or then joining, started
+	stopped       bool
+	syncStarted   bool // since the last pause, an exchange with a peer has started and has not failed
+	savedAt       time.Duration
+	localState    atomic.Pointer[[]byte]
+	unsent        int // broadcasts that could not be queued
+	network       member.Network
 }
 
-// Between has the node reach the others by a network other than the machine's own. It is called before Start.
-func (n *Node) Between(network member.Network) { n.network = network }
+// UseNetwork makes the node use a network other than the machine's. It is called before Start.
+func (n *Node) UseNetwork(network member.Network) { n.network = network }
 
-// New returns a node that has not started. name and hall are the gateway's.
+// New returns a node that has not been started. name and hall are the gateway's.
 func New(loop *core.Loop, set *Settings, name string, hall int, log *zap.Logger) *Node {
-	n := &Node{loop: loop, settings: set, name: name, hall: hall, log: log, boot: bootOf(set.BootID)}
+	n := &Node{loop: loop, settings: set, name: name, hall: hall, log: log, readBoot: bootReader(set.BootID)}
 	n.parts = []Part{&renumbering{n: n}}
 	return n
 }
 
-// Add adds a part, before Start. The parts are served in the order in which they were added.
+// Add adds a part. It is called before Start. Parts are called in the order in which they were added.
 func (n *Node) Add(make func(h *Host) Part) {
 	h := &Host{n: n}
 	p := make(h)
@@ -68,34 +68,34 @@
 	n.parts = append(n.parts, p)
 }
 
-// stamp is this moment, as far as it can be known.
+// stamp returns the present time, by the wall clock and by the time since the machine's boot.
 func (n *Node) stamp() recover.Stamp {
-	boot, up := n.boot()
+	boot, up := n.readBoot()
 	return recover.Stamp{Wall: n.loop.Now(), Boot: boot, Up: up}
 }
 
-// Start reads the disk and joins the others.
+// Start reads the disk, and then joins the fleet.
 func (n *Node) Start() {
-	n.since = n.loop.Now()
-	clock := n.since
+	n.stageStart = n.loop.Now()
+	clock := n.stageStart
 	go func() {
 		r := readState(n.settings.Dir, clock)
-		n.loop.Post(func() { n.read(r) })
+		n.loop.Post(func() { n.useStored(r) })
 	}()
 	n.tick()
 }
 
-// read takes what was on disk. What comes after the time for it is over is used to write to, and not believed.
-func (n *Node) read(r result) {
-	if n.ended {
+// useStored begins with the state found on disk. State read after recover.ReadLimit is not used; the store is then only written to.
+func (n *Node) useStored(r readResult) {
+	if n.stopped {
 		if r.db != nil {
-			go r.db.Close(closeLimit)
+			go r.db.Close(closeTimeout)
 		}
 		return
 	}
 	n.db = r.db
 	for _, what := range r.found.Refused {
-		n.log.Error("state on disk is not used", zap.String("what", what), zap.String("kept_at", r.found.Aside))
+		n.log.Error("state on disk is not used", zap.String("what", what), zap.String("kept_at", r.found.MovedTo))
 	}
 	if r.err != nil {
 		n.log.Error("no state is kept on disk", zap.Error(r.err))
@@ -104,55 +104,57 @@
 		n.log.Warn("state on disk came too late")
 		return
 	}
-	n.life = r.life
+	n.incarnation = r.incarnation
 	n.begin(r.found.Entries, false)
 }
 
-// begin has the parts begin, and joins the others.
+// begin starts the parts with the entries found on disk, and joins the fleet. late means that the disk has not answered in time.
 func (n *Node) begin(entries map[string][]byte, late bool) {
-	n.begun, n.since = true, n.loop.Now()
-	if n.life.N == 0 { // the disk has not answered
-		n.life = member.Next(0, 0, n.loop.Now(), rand.Uint64())
+	n.begun, n.stageStart = true, n.loop.Now()
+	if n.incarnation.Number == 0 { // the disk has not answered in time
+		n.incarnation = member.Next(0, 0, n.loop.Now(), rand.Uint64())
 	}
-	self := member.Metadata{Name: n.name, Life: n.life, State: member.Joining, Hall: n.hall, Major: member.Major, Minor: member.Minor}
+	self := member.Metadata{Name: n.name, Incarnation: n.incarnation, State: member.Joining, Hall: n.hall, Major: member.Major,
+		Minor: member.Minor}
 	n.view = member.NewView(self, n.loop.Now())
-	n.found = entries
+	n.storedEntries = entries
 	for _, p := range n.parts {
 		p.Begin(entries[p.Name()], late)
 	}
-	n.found = nil
+	n.storedEntries = nil
 	n.publish()
-	o := member.Options{Fleet: n.settings.Fleet, Bind: n.settings.Bind, Seeds: n.settings.Seeds, Via: n.settings.Via, Self: self, Network: n.network}
+	opts := member.Options{Fleet: n.settings.Fleet, Bind: n.settings.Bind, Seeds: n.settings.Seeds, Via: n.settings.Via, Self: self,
+		Network: n.network}
 	go func() {
-		t, err := member.Open(o, (*receiver)(n), n.log)
+		t, err := member.Open(opts, (*receiver)(n), n.log)
 		if err != nil {
-			n.loop.Post(func() { n.join(nil, err) })
+			n.loop.Post(func() { n.finishJoin(nil, err) })
 			return
 		}
-		n.loop.Post(func() { n.reach(t) })
-		// All of them, or what the limit allows: the one that is missing may be the one that knows of a ban.
+		n.loop.Post(func() { n.setTransport(t) })
+		// It waits for all seeds, up to the limit, since the one that is missing may be the only one that knows of a ban.
 		for end := time.Now().Add(recover.AskLimit); t.Join(recover.AskLimit) < len(t.Seeds()) && time.Now().Before(end); {
-			time.Sleep(askAgain) // off the turn
+			time.Sleep(joinRetryDelay) // not on the event loop
 		}
-		n.loop.Post(func() { n.join(t, nil) })
+		n.loop.Post(func() { n.finishJoin(t, nil) })
 	}()
 }
 
-// reach takes the transport into use.
-func (n *Node) reach(t *member.Transport) {
-	if n.ended {
+// setTransport starts to use the transport.
+func (n *Node) setTransport(t *member.Transport) {
+	if n.stopped {
 		go t.Close(false)
 		return
 	}
-	n.net = t
+	n.transport = t
 }
 
-// join says that the others have been asked.
-func (n *Node) join(t *member.Transport, err error) {
+// finishJoin notifies the parts, once, that the seeds have answered or the time for it is over.
+func (n *Node) finishJoin(t *member.Transport, err error) {
 	if err != nil {
 		n.log.Error("the other gateways can't be reached", zap.Error(err))
 	}
-	if n.ended || n.joined {
+	if n.stopped || n.joined {
 		return
 	}
 	n.joined = true
@@ -161,85 +163,85 @@
 	}
 }
 
-// tick is the node's own pace.
+// tick runs the node's periodic work, every tickInterval.
 func (n *Node) tick() {
-	if n.ended {
+	if n.stopped {
 		return
 	}
 	now := n.loop.Now()
-	if !n.begun && now-n.since >= recover.ReadLimit {
+	if !n.begun && now-n.stageStart >= recover.ReadLimit {
 		n.begin(nil, true)
 	}
-	if n.begun && !n.joined && now-n.since >= recover.AskLimit {
-		n.join(n.net, nil)
+	if n.begun && !n.joined && now-n.stageStart >= recover.AskLimit {
+		n.finishJoin(n.transport, nil)
 	}
 	if n.view != nil {
-		n.beat(now)
+		n.checkPause(now)
 		for _, p := range n.parts {
 			p.Tick(now)
 		}
 	}
-	if n.joined && now-n.savedAt >= saveEvery {
+	if n.joined && now-n.savedAt >= saveInterval {
 		n.savedAt = now
 		n.save()
 		n.publish()
 	}
-	n.loop.After(tickEvery, n.tick)
+	n.loop.After(tickInterval, n.tick)
 }
 
-// beat notices that the process stood still, and has the others asked before it acts on anything shared.
-func (n *Node) beat(now time.Duration) {
-	if !n.view.Beat(now) {
-		n.log.Warn("this process stood still; the others are asked before anything shared is done")
-		n.asked = false
+// checkPause detects that the process was paused. Shared state must not be acted on then until state was exchanged with a peer.
+func (n *Node) checkPause(now time.Duration) {
+	if !n.view.Heartbeat(now) {
+		n.log.Warn("this process was paused; exchanging state with a peer before acting on shared state")
+		n.syncStarted = false
 	}
-	if n.view.May() || n.asked || n.net == nil {
+	if n.view.MayAct() || n.syncStarted || n.transport == nil {
 		return
 	}
-	n.asked = true
-	t := n.net
+	n.syncStarted = true
+	t := n.transport
 	go func() {
-		ok := t.Ask()
+		ok := t.Sync()
 		n.loop.Post(func() {
-			if n.asked = ok; ok {
-				n.view.Confirm()
-				n.log.Info("the others have answered again")
+			if n.syncStarted = ok; ok {
+				n.view.ConfirmContact()
+				n.log.Info("a peer has answered after the pause")
 			}
 		})
 	}()
 }
 
-func (n *Node) become(s member.State) {
-	n.view.Become(s)
-	if n.net != nil {
-		n.net.Say(n.view.Self())
+func (n *Node) setState(s member.State) {
+	n.view.SetState(s)
+	if n.transport != nil {
+		n.transport.Announce(n.view.Self())
 	}
 }
 
-// Drain tells the others that this gateway takes no more clients.
+// Drain announces that this gateway accepts no more clients.
 func (n *Node) Drain() {
-	if n.view != nil && !n.ended {
-		n.become(member.Draining)
+	if n.view != nil && !n.stopped {
+		n.setState(member.Draining)
 	}
 }
 
-// Stop writes the last state and leaves, off the turn; done is called when both are over, or have taken too long.
+// Stop leaves the fleet and writes the last state, off the event loop; done is called after both, at most closeTimeout for the write.
 func (n *Node) Stop(done func()) {
-	if n.ended {
+	if n.stopped {
 		done()
 		return
 	}
 	if n.joined {
 		n.save()
 	}
-	n.ended = true
-	db, t := n.db, n.net
+	n.stopped = true
+	db, t := n.db, n.transport
 	go func() {
 		if t != nil {
 			t.Close(true)
 		}
 		if db != nil {
-			if err := db.Close(closeLimit); err != nil {
+			if err := db.Close(closeTimeout); err != nil {
 				n.log.Warn("state not saved", zap.Error(err))
 			}
 		}
--- a/internal/fleet/part.go
+++ b/internal/fleet/part.go
@@ -13,30 +13,31 @@
 	"quillrail/internal/fleet/store"
 )
 
-// Part is one concern of a gateway among others: coming back, what is agreed, work in hand. Its methods are called on the
-// turn, in this order at a start: Begin, Joined, then the others as it comes. None may wait for a disk or a peer.
+// Part handles one concern of a gateway in the fleet, such as recovery after a start or the agreement. Its methods are called on
+// the event loop: at a start first Begin, then Joined, then the others as events occur. None may wait for a disk or a peer.
 type Part interface {
-	// Name names the part's messages and its entry on disk.
+	// Name returns the name of the part's messages and of its entry on disk.
 	Name() string
-	// Begin takes what the part had saved, nil if there is nothing; late says that the disk has not answered in time.
+	// Begin receives the state that the part had saved, nil if there is none. late means that the disk has not answered in time.
 	Begin(saved []byte, late bool)
-	// Joined says that the others have been asked: all that could be reached have answered, or the time for it is over.
+	// Joined is called once the seeds have answered, or the time for it is over.
 	Joined()
-	// Tick is the node's pace.
+	// Tick is called every 100 ms.
 	Tick(now time.Duration)
-	// Receive takes a message of the same part at another gateway.
+	// Receive handles a message of the same part at another gateway.
 	Receive(m Received)
-	// MemberChanged takes what has become of another gateway.
+	// MemberChanged handles an event of another gateway, with its effect on the view.
 	MemberChanged(e member.Event, what member.Transition)
-	// LocalState returns what a gateway that asks is told, nil for nothing.
+	// LocalState returns the state that is sent to other gateways, nil for none.
 	LocalState() []byte
-	// Save returns what has to outlive a power loss, to be encoded off the turn; nil for nothing new.
+	// Save returns a function that encodes the state to be stored on disk, which is called outside the event loop; nil if there
+	// is nothing new.
 	Save() func() ([]byte, error)
-	// Figures shows what operators want to see.
-	Figures(show func(name string, value int))
+	// Metrics reports the part's metrics.
+	Metrics(report func(name string, value int))
 }
 
-// Base does nothing, for parts that need only some of the calls.
+// Base implements all methods of Part except Name by doing nothing. Parts embed it and implement the methods that they need.
 type Base struct{}
 
 // Begin does nothing.
@@ -60,87 +61,87 @@
 // Save does nothing.
 func (Base) Save() func() ([]byte, error) { return nil }
 
-// Figures does nothing.
-func (Base) Figures(func(name string, v int)) {}
+// Metrics does nothing.
+func (Base) Metrics(func(name string, value int)) {}
 
-// Channel says by which way a message came.
+// Channel is the way by which a message was received.
 type Channel int
 
-// The ways.
+// The channels.
 const (
-	Answer    Channel = iota // what another one knows, in answer to a question or unasked
-	Broadcast                // told to all
-	Message                  // told to this gateway
+	Answer    Channel = iota // another gateway's local state, requested by this gateway or by the other one
+	Broadcast                // sent to all gateways
+	Message                  // sent to this gateway
 )
 
 // Received is a message of a part at another gateway.
 type Received struct {
-	How  Channel
-	From string // "" of a Word
-	Life uint64
-	Body []byte
+	Channel     Channel
+	From        string // name of the gateway; "" for an Answer
+	Incarnation uint64
+	Body        []byte
 }
 
-// Host is what a Node gives to its parts. It is used on the turn.
+// Host is a part's access to its Node. It is used on the event loop.
 type Host struct {
 	n    *Node
 	part string
 }
 
-// Now is the turn's time.
+// Now returns the event loop's time.
 func (h *Host) Now() time.Duration { return h.n.loop.Now() }
 
-// Loop is the turn.
+// Loop returns the event loop.
 func (h *Host) Loop() *core.Loop { return h.n.loop }
 
-// Log is the part's log.
+// Log returns the part's logger.
 func (h *Host) Log() *zap.Logger { return h.n.log }
 
-// Stamp is this moment, as far as it can be known.
+// Stamp returns the present time, by the wall clock and by the time since the machine's boot.
 func (h *Host) Stamp() recover.Stamp { return h.n.stamp() }
 
-// View is what is known of the other gateways; nil before the disk has been read.
+// View returns what is known about the other gateways; nil before the disk has been read.
 func (h *Host) View() *member.View { return h.n.view }
 
-// May reports whether this process may act on what the fleet shares.
-func (h *Host) May() bool { return h.n.view != nil && h.n.view.May() }
+// MayAct reports whether this process may act on shared state.
+func (h *Host) MayAct() bool { return h.n.view != nil && h.n.view.MayAct() }
 
-// Life is this process's incarnation.
-func (h *Host) Life() member.Incarnation { return h.n.life }
+// Incarnation returns this process's incarnation.
+func (h *Host) Incarnation() member.Incarnation { return h.n.incarnation }
 
-// Found is all that was on disk; it is there while parts begin.
-func (h *Host) Found() map[string][]byte { return h.n.found }
+// StoredEntries returns all entries found on disk. It is valid only while parts begin.
+func (h *Host) StoredEntries() map[string][]byte { return h.n.storedEntries }
 
-// Disk is the store, nil where there is none.
-func (h *Host) Disk() *store.Store { return h.n.db }
+// Store returns the disk store, nil if there is none.
+func (h *Host) Store() *store.Store { return h.n.db }
 
-// Broadcast sends to all the others. It reports whether there was room; what is lost is not told again.
+// Broadcast queues a message to all other gateways. It returns false if the queue is full. Lost messages are not sent again.
 func (h *Host) Broadcast(body []byte) bool {
 	return h.n.broadcast(h.part, body)
 }
 
-// Send tells one gateway, and SendAll each of them at once, over their links.
+// Send queues a message for one gateway, on the link to it. It returns false if the gateway is unknown or the queue is full.
 func (h *Host) Send(to string, body []byte) bool {
-	return h.n.net != nil && h.n.net.Send(to, link.Message{Part: h.part, Body: body})
+	return h.n.transport != nil && h.n.transport.Send(to, link.Message{Part: h.part, Body: body})
 }
 
-// SendAll is Send to each of the others that are there.
+// SendAll queues a message for each gateway that is alive, on the links.
 func (h *Host) SendAll(body []byte) {
-	if h.n.net != nil {
-		h.n.net.SendAll(link.Message{Part: h.part, Body: body})
+	if h.n.transport != nil {
+		h.n.transport.SendAll(link.Message{Part: h.part, Body: body})
 	}
 }
 
-// Become changes what this gateway says of its own state.
-func (h *Host) Become(s member.State) { h.n.become(s) }
+// SetState changes the state that this gateway announces.
+func (h *Host) SetState(s member.State) { h.n.setState(s) }
 
-// SaveSoon has all parts saved with the next tick, and Republish has those who ask told anew.
+// SaveSoon saves all parts with the next tick.
 func (h *Host) SaveSoon() { h.n.savedAt = 0 }
 
-// Republish has those who ask told anew.
+// Republish updates the local state that is sent to other gateways.
 func (h *Host) Republish() { h.n.publish() }
 
-// decode reads what is on disk or came over the net, and refuses what can't be.
+// decode decodes data from disk or from another gateway, and returns an error if its content is out of range.
 func decode(b []byte, v interface{ Check() error }) error {
 	if err := msgpack.Unmarshal(b, v); err != nil {
 		return err
--- a/internal/fleet/receiver.go
+++ b/internal/fleet/receiver.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	maxParts = 16 // of which a message may speak
-	maxPart  = 32 // bytes of a part's name
+	maxParts    = 16 // parts in the state of another gateway
+	maxPartName = 32 // bytes of a part's name
 )
 
-// answer is what is told to one who asks, by part.
-type answer map[string][]byte
+// partStates is the state that gateways exchange: the encoded local state of each part, by the part's name.
+type partStates map[string][]byte
 
-// Check reports what no word can hold.
-func (w answer) Check() error {
-	if len(w) > maxParts {
-		return fmt.Errorf("fleet: a word of %d parts", len(w))
+// Check returns an error if there are too many parts.
+func (s partStates) Check() error {
+	if len(s) > maxParts {
+		return fmt.Errorf("fleet: state of %d parts exceeds the limit", len(s))
 	}
 	return nil
 }
 
-// broadcast is a part's news to all.
+// broadcast is a part's message to all gateways.
 type broadcast struct {
-	From string
-	Life uint64
-	Part string
-	Body []byte
+	From        string
+	Incarnation uint64 `msgpack:"Life"`
+	Part        string
+	Body        []byte
 }
 
-// Check reports what no news can hold.
-func (x *broadcast) Check() error {
-	if x.From == "" || x.Life == 0 || len(x.Part) > maxPart {
-		return fmt.Errorf("fleet: news of %q, life %d", x.From, x.Life)
+// Check returns an error if the sender is not named or the part's name is too long.
+func (m *broadcast) Check() error {
+	if m.From == "" || m.Incarnation == 0 || len(m.Part) > maxPartName {
+		return fmt.Errorf("fleet: invalid broadcast of gateway %q, incarnation %d", m.From, m.Incarnation)
 	}
 	return nil
 }
 
-// publish puts down what others are told when they ask.
+// publish encodes the local state of all parts, to be sent to other gateways.
 func (n *Node) publish() {
-	w := answer{}
+	states := partStates{}
 	for _, p := range n.parts {
 		if b := p.LocalState(); b != nil {
-			w[p.Name()] = b
+			states[p.Name()] = b
 		}
 	}
-	b, err := msgpack.Marshal(w)
+	b, err := msgpack.Marshal(states)
 	if err != nil {
-		n.log.Error("what is known can't be told", zap.Error(err))
+		n.log.Error("local state can't be encoded", zap.Error(err))
 		return
 	}
 	n.localState.Store(&b)
 }
 
-// broadcast tells all the others by gossip.
+// broadcast queues a part's message to all other gateways, by gossip. It returns false if it could not be queued.
 func (n *Node) broadcast(part string, body []byte) bool {
-	b, err := msgpack.Marshal(&broadcast{From: n.name, Life: n.life.N, Part: part, Body: body})
-	if err != nil || n.net == nil || !n.net.Broadcast(b) {
+	b, err := msgpack.Marshal(&broadcast{From: n.name, Incarnation: n.incarnation.Number, Part: part, Body: body})
+	if err != nil || n.transport == nil || !n.transport.Broadcast(b) {
 		n.unsent++
 		return false
 	}
 	return true
 }
 
-// deliver gives a message to the part that it is for; one of a part that is not here is of a newer version.
+// deliver passes a message to its part. A message for an unknown part is ignored: it comes from a newer version.
 func (n *Node) deliver(part string, m Received) {
 	for _, p := range n.parts {
 		if p.Name() == part {
@@ -77,93 +77,94 @@
 	}
 }
 
-// heard takes what another gateway knows.
+// receiveState passes the state of another gateway to the parts.
 func (n *Node) receiveState(b []byte) {
-	var w answer
-	if err := decode(b, &w); err != nil {
-		n.log.Warn("another gateway's word is not understood", zap.Error(err))
+	var states partStates
+	if err := decode(b, &states); err != nil {
+		n.log.Warn("state of another gateway can't be decoded", zap.Error(err))
 		return
 	}
 	for _, p := range n.parts {
-		if body, ok := w[p.Name()]; ok {
-			p.Receive(Received{How: Answer, Body: body})
+		if body, ok := states[p.Name()]; ok {
+			p.Receive(Received{Channel: Answer, Body: body})
 		}
 	}
 }
 
-// receiveBroadcast takes a piece of news.
+// receiveBroadcast passes a broadcast to its part.
 func (n *Node) receiveBroadcast(b []byte) {
-	var x broadcast
-	if err := decode(b, &x); err != nil {
-		n.log.Warn("news are not understood", zap.Error(err))
+	var message broadcast
+	if err := decode(b, &message); err != nil {
+		n.log.Warn("broadcast can't be decoded", zap.Error(err))
 		return
 	}
-	n.deliverFrom(x.Part, Received{How: Broadcast, From: x.From, Life: x.Life, Body: x.Body})
+	n.deliverFrom(message.Part, Received{Channel: Broadcast, From: message.From, Incarnation: message.Incarnation, Body: message.Body})
 }
 
-// deliverFrom delivers what comes of another gateway, unless it speaks of a life that was followed by another.
+// deliverFrom delivers a message of another gateway, unless a later incarnation of that gateway is known.
 func (n *Node) deliverFrom(part string, m Received) {
-	if m.From != n.name && m.Life >= n.view.Heard(m.From) {
+	if m.From != n.name && m.Incarnation >= n.view.LatestIncarnation(m.From) {
 		n.deliver(part, m)
 	}
 }
 
-// event takes what has become of another gateway.
+// event applies an event of another gateway to the view and notifies the parts.
 func (n *Node) event(e member.Event) {
-	what := n.view.Observe(e)
-	f := []zap.Field{zap.String("gateway", e.Card.Name), zap.Uint64("incarnation", e.Card.Life.N), zap.Stringer("state", e.State),
-		zap.Int("gateways", n.view.Alive())}
-	switch what {
-	case member.Came, member.Changed:
-		n.log.Info("another gateway", f...)
-	case member.Namesake:
-		n.log.Error("another process has this gateway's name, and is the earlier one", f...)
+	transition := n.view.Observe(e)
+	fields := []zap.Field{zap.String("gateway", e.Metadata.Name), zap.Uint64("incarnation", e.Metadata.Incarnation.Number),
+		zap.Stringer("state", e.State), zap.Int("gateways", n.view.Alive())}
+	switch transition {
+	case member.NewIncarnation, member.Changed:
+		n.log.Info("another gateway", fields...)
+	case member.DuplicateName:
+		n.log.Error("another process has this gateway's name, and is the earlier one", fields...)
 	case member.Superseded:
-		n.log.Error("a later process has this gateway's name: this one leaves the fleet", f...)
-		if t := n.net; t != nil {
-			n.net = nil
+		n.log.Error("a later process has this gateway's name: this one leaves the fleet", fields...)
+		if t := n.transport; t != nil {
+			n.transport = nil
 			go t.Close(false)
 		}
 	}
 	for _, p := range n.parts {
-		p.MemberChanged(e, what)
+		p.MemberChanged(e, transition)
 	}
 }
 
-// Figures shows the node's own figures and those of the parts.
-func (n *Node) Figures(show func(name string, value int)) {
-	alive, untold := 1, n.unsent
+// Metrics reports the node's metrics and those of its parts.
+func (n *Node) Metrics(report func(name string, value int)) {
+	alive, unsent := 1, n.unsent
 	if n.view != nil {
 		alive = n.view.Alive()
 	}
-	if n.net != nil {
-		l := n.net.Links()
-		untold += int(n.net.Lost() + l.Lost)
-		show("links", l.Peers)
-		bytes := n.net.Traffic()
-		show("sent_bytes", int(bytes.Sent))
-		show("received_bytes", int(bytes.Received))
+	if n.transport != nil {
+		links := n.transport.Links()
+		unsent += int(n.transport.Dropped() + links.Lost)
+		report("links", links.Peers)
+		bytes := n.transport.Traffic()
+		report("sent_bytes", int(bytes.Sent))
+		report("received_bytes", int(bytes.Received))
 	}
-	show("gateways", alive)
-	show("untold", untold)
+	report("gateways", alive)
+	report("untold", unsent)
 	if n.db != nil {
-		s := n.db.Stats()
-		show("saved", int(s.Saved))
-		show("save_errors", int(s.Lost))
-		show("save_stalled_ms", int(s.Busy.Milliseconds()))
+		stats := n.db.Stats()
+		report("saved", int(stats.Saved))
+		report("save_errors", int(stats.Lost))
+		report("save_stalled_ms", int(stats.Busy.Milliseconds()))
 	}
 	for _, p := range n.parts {
-		p.Figures(show)
+		p.Metrics(report)
 	}
 }
 
-// receiver is the side of a Node that the transport sees, on its own goroutines.
+// receiver implements member.Handler for a Node. Its methods are called on the transport's goroutines and post to the event loop.
 type receiver Node
 
+// post runs f on the event loop, unless the node has stopped by then.
 func (e *receiver) post(f func(n *Node)) {
 	n := (*Node)(e)
 	n.loop.Post(func() {
-		if !n.ended {
+		if !n.stopped {
 			f(n)
 		}
 	})
@@ -172,14 +173,14 @@
 func (e *receiver) Event(x member.Event) { e.post(func(n *Node) { n.event(x) }) }
 func (e *receiver) RemoteState(b []byte) { e.post(func(n *Node) { n.receiveState(b) }) }
 func (e *receiver) Broadcast(b []byte)   { e.post(func(n *Node) { n.receiveBroadcast(b) }) }
-func (e *receiver) Trouble(what string) {
+func (e *receiver) ReportProblem(what string) {
 	e.post(func(n *Node) { n.log.Warn("fleet", zap.String("what", what)) })
 }
-func (e *receiver) Message(from link.Hello, m link.Message, taken func()) {
+func (e *receiver) Message(from link.Hello, m link.Message, done func()) {
 	n := (*Node)(e)
 	n.loop.Post(func() {
-		if taken(); !n.ended {
-			n.deliverFrom(m.Part, Received{How: Message, From: from.Name, Life: from.Life, Body: m.Body})
+		if done(); !n.stopped {
+			n.deliverFrom(m.Part, Received{Channel: Message, From: from.Name, Incarnation: from.Incarnation, Body: m.Body})
 		}
 	})
 }
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -14,59 +14,61 @@
 )
 
 const (
-	formerFade = 0.995                  // of the former rate stays after a second in which less was served
-	refusal    = 200 * time.Millisecond // clients that are not admitted are asked to stay away for so long
+	formerRateDecay   = 0.995                  // part of the former rate that is kept after each second in which less was served
+	refusalRetryAfter = 200 * time.Millisecond // after which clients that are not admitted should retry
 )
 
-// TrustAll has a gateway believe all that it finds on disk, and admit everybody at once. It is the baseline that recovery
-// is measured against; only tests set it.
+// TrustAll makes a gateway trust all state that it finds on disk, and admit all clients at once. Tests set it to measure recovery
+// against this baseline; nothing else does.
 var TrustAll bool
 
-// Recovery is the part that brings a gateway back after a loss of power: it runs a recover.Course, and keeps what operators
-// have said of workers the same at all gateways.
+// Recovery is the part that recovers a gateway's state after a power loss: it steps through recover.Phases, and replicates the
+// operators' bans of workers to all gateways.
 type Recovery struct {
 	Base
-	host *Host
-	gw   Gateway
-	set  *Settings
-	lim  recover.Limits
-	rank []float64    // worth by class
-	left []roster.Ban // of the gateway's state file
-
-	course *recover.Phases
-	saved  *recover.Saved
-	marks  recover.Checkpoints
-	agreed *recover.Agreed
-	admit  *recover.Admission
-	former float64
-	serves bool // from before its start
-	begun  bool // the gateway has been given what it begins with
-
-	members     map[string]core.Member // the list, for what is saved
-	held        map[string]uint64
-	foundCopies []string // functions found, still to be broadcast
-	stands      []Stand  // copies found, as of the last save
-	told        time.Duration
-	late        int // functions and workers that were not told for want of room
+	host          *Host
+	gateway       Gateway
+	settings      *Settings
+	limits        recover.Limits
+	classWorth    []float64    // indexed by class
+	stateFileBans []roster.Ban // bans from the gateway's state file
+
+	phases     *recover.Phases
+	saved      *recover.Saved
+	bans       recover.Checkpoints // bans and ended bans, by worker
+	peerState  *recover.Agreed
+	admission  *recover.Admission
+	formerRate float64 // calls a second that were served before the start; updated in full service
+	tookOver   bool    // this process has taken over from one that served
+	begun      bool    // the gateway has received its initial state
+
+	workers        map[string]core.Member // the worker list by name, to be saved
+	held           map[string]uint64      // workers held back, with the event number of the list that has them draining
+	foundFunctions []string               // functions found to be loaded, not broadcast yet
+	copies         []LoadedCopy           // copies found to be loaded, as of the last save
+	broadcastAt    time.Duration
+	unsent         int // broadcasts that could not be queued, and bans refused beyond the limit
 }
 
-// NewRecovery returns the part. rank is the worth of each class; left are bans that the gateway knows from elsewhere, and
-// of which a word of the fleet counts more.
-func NewRecovery(h *Host, gw Gateway, set *Settings, lim recover.Limits, rank []float64, left []roster.Ban) *Recovery {
-	return &Recovery{host: h, gw: gw, set: set, lim: lim, rank: rank, left: left, course: recover.NewPhases(h.Now()), marks: recover.Checkpoints{},
-		agreed: recover.NewAgreed(), members: map[string]core.Member{}, held: map[string]uint64{}}
+// NewRecovery returns the part. classWorth is the worth of each class. stateFileBans are the bans of the gateway's state file;
+// bans that the fleet knows take precedence over them.
+func NewRecovery(h *Host, gateway Gateway, settings *Settings, limits recover.Limits, classWorth []float64,
+	stateFileBans []roster.Ban) *Recovery {
+	return &Recovery{host: h, gateway: gateway, settings: settings, limits: limits, classWorth: classWorth, stateFileBans: stateFileBans,
+		phases: recover.NewPhases(h.Now()), bans: recover.Checkpoints{}, peerState: recover.NewAgreed(),
+		workers: map[string]core.Member{}, held: map[string]uint64{}}
 }
 
-// Name names the part's messages and its entry on disk.
+// Name returns the name of the part's messages and of its entry on disk.
 func (c *Recovery) Name() string { return "state" }
 
-// Start is called before the node's: serves says that this process has taken over from one that served.
-func (c *Recovery) Start(serves bool) {
-	c.serves, c.course = serves, recover.NewPhases(c.host.Now())
-	c.host.Log().Info("coming back", zap.Stringer("phase", c.course.Phase()))
+// Start is called before the node's Start. tookOver means that this process has taken over from one that served.
+func (c *Recovery) Start(tookOver bool) {
+	c.tookOver, c.phases = tookOver, recover.NewPhases(c.host.Now())
+	c.host.Log().Info("coming back", zap.Stringer("phase", c.phases.Phase()))
 }
 
-// Begin takes the former state.
+// Begin receives the state saved on disk, and keeps only what can be trusted given its age.
 func (c *Recovery) Begin(saved []byte, late bool) {
 	without := ""
 	if saved != nil {
@@ -82,161 +84,165 @@
 	} else if c.saved == nil {
 		without = "its former state"
 	}
-	c.pass(recover.Reading, without)
+	c.endPhase(recover.Reading, without)
 	if s := c.saved; s != nil {
 		if !TrustAll {
-			for _, v := range s.Trusted(c.host.Stamp(), c.lim) {
+			for _, v := range s.Trusted(c.host.Stamp(), c.limits) {
 				c.host.Log().Debug("state", zap.String("kind", string(v.Kind)), zap.Stringer("trust", v.Trust), zap.String("why", v.Why))
 			}
 		}
-		c.marks.Join(s.Marks)
-		c.former = s.Former
+		c.bans.Join(s.Marks)
+		c.formerRate = s.Former
 	}
 }
 
-// Joined gives the gateway what it begins with.
+// Joined starts the gateway with its initial state, now that peers have answered or the time for it is over.
 func (c *Recovery) Joined() {
 	without := ""
-	if c.agreed.Words == 0 {
+	if c.peerState.Words == 0 {
 		without = "the others' word"
 	}
-	if c.pass(recover.Asking, without) {
-		c.begin()
+	if c.endPhase(recover.Asking, without) {
+		c.beginGateway()
 	}
 }
 
-func (c *Recovery) begin() {
-	b := Begin{}
-	own := c.gw.Event()
+// beginGateway builds the initial state from the state on disk, the state of peers and the bans of the state file, and starts the
+// gateway with it.
+func (c *Recovery) beginGateway() {
+	initial := InitialState{}
+	lastEvent := c.gateway.LastEvent()
 	if s := c.saved; s != nil {
-		b.Roster, b.Module = s.Roster, s.Module
-		if s.Event > own {
-			b.Event = s.Event
-			b.List = []core.Member{}
+		initial.Roster, initial.Module = s.Roster, s.Module
+		if s.Event > lastEvent {
+			initial.ListEvent = s.Event
+			initial.List = []core.Member{}
 			for i, h := range s.List {
-				b.List = append(b.List, core.Member{Host: h, Addr: s.Addrs[i]})
+				initial.List = append(initial.List, core.Member{Host: h, Addr: s.Addrs[i]})
 			}
 		}
 	}
-	c.marks.Join(c.agreed.Marks)
-	for _, ban := range slices.Concat(b.Roster.Bans, c.left) { // from before there was a fleet
-		if _, known := c.marks[ban.ID]; !known {
-			c.marks.Say(ban.ID, true, ban.Since)
+	c.bans.Join(c.peerState.Marks)
+	for _, ban := range slices.Concat(initial.Roster.Bans, c.stateFileBans) { // made before the gateway was a member of the fleet
+		if _, known := c.bans[ban.ID]; !known {
+			c.bans.Say(ban.ID, true, ban.Since)
 		}
 	}
-	b.Roster.Bans = nil
-	for _, id := range slices.Sorted(maps.Keys(c.marks)) {
-		if k := c.marks[id]; k.Banned {
-			b.Roster.Bans = append(b.Roster.Bans, roster.Ban{ID: id, Since: k.Since})
+	initial.Roster.Bans = nil
+	for _, id := range slices.Sorted(maps.Keys(c.bans)) {
+		if k := c.bans[id]; k.Banned {
+			initial.Roster.Bans = append(initial.Roster.Bans, roster.Ban{ID: id, Since: k.Since})
 		}
 	}
 	listed := map[string]time.Duration{}
-	for _, m := range b.List {
+	for _, m := range initial.List {
 		listed[m.Name] = m.Since
 	}
-	for id, at := range c.agreed.Started {
+	for id, at := range c.peerState.Started {
 		if since, known := listed[id]; known && at > since+time.Second {
-			b.Roster.Cold = append(b.Roster.Cold, roster.ColdWorker{ID: id, Listed: since, Since: at})
+			initial.Roster.Cold = append(initial.Roster.Cold, roster.ColdWorker{ID: id, Listed: since, Since: at})
 		}
 	}
-	for fn, at := range c.agreed.Stands {
+	for fn, at := range c.peerState.Stands {
 		for w, t := range at {
-			b.Stands = append(b.Stands, Stand{fn, w, t})
+			initial.Copies = append(initial.Copies, LoadedCopy{fn, w, t})
 		}
 	}
-	if c.former == 0 && c.agreed.Words > 0 {
-		c.former = c.agreed.Rate / float64(c.agreed.Words)
+	if c.formerRate == 0 && c.peerState.Words > 0 {
+		c.formerRate = c.peerState.Rate / float64(c.peerState.Words)
 	}
 	c.begun = true
-	if err := c.gw.Begin(b); err != nil {
-		c.host.Log().Error("what was known before is not used", zap.Error(err))
+	if err := c.gateway.Begin(initial); err != nil {
+		c.host.Log().Error("the recovered state is not used", zap.Error(err))
 	}
-	c.hold()
+	c.updateHeld()
 }
 
-// Current says that the bulletin has spoken: the list is up to date.
-func (c *Recovery) Current() {
-	if c.course.Phase() == recover.Listing && c.pass(recover.Listing, "") {
-		c.open()
+// ListCurrent is called when the bulletin has confirmed that the worker list is up to date.
+func (c *Recovery) ListCurrent() {
+	if c.phases.Phase() == recover.Listing && c.endPhase(recover.Listing, "") {
+		c.admitClients()
 	}
 }
 
-// Tick is the pace of the phases.
+// Tick ends phases that have reached their time limit, and updates admission.
 func (c *Recovery) Tick(now time.Duration) {
-	if p := c.course.Phase(); c.course.Due(now) {
+	if p := c.phases.Phase(); c.phases.Due(now) {
 		switch p {
 		case recover.Listing:
-			if c.pass(p, "the bulletin") {
-				c.open()
+			if c.endPhase(p, "the bulletin") {
+				c.admitClients()
 			}
 		case recover.Admitting:
-			c.pass(p, "a measured share")
+			c.endPhase(p, "a measured share")
 		}
 	}
-	if c.admit != nil && c.course.Phase() == recover.Admitting {
-		c.admit.Fleet(c.host.View().Alive())
-		c.gw.AssumeRate(c.former, c.admit.Slots())
-		if c.admit.Done(now) {
-			c.pass(recover.Admitting, "")
+	if c.admission != nil && c.phases.Phase() == recover.Admitting {
+		c.admission.Fleet(c.host.View().Alive())
+		c.gateway.AssumeRate(c.formerRate, c.admission.Slots())
+		if c.admission.Done(now) {
+			c.endPhase(recover.Admitting, "")
 		}
 	}
-	if now-c.told >= tellEvery {
-		c.told = now
-		c.broadcastFoundCopies()
+	if now-c.broadcastAt >= broadcastInterval {
+		c.broadcastAt = now
+		c.broadcastFoundFunctions()
 	}
 }
 
-func (c *Recovery) pass(p recover.Phase, without string) bool {
-	before := c.course.Since()
-	if !c.course.Pass(c.host.Now(), p, without) {
+// endPhase ends phase p, if it is the present one, and reports whether it was. without names what the gateway has to do without,
+// "" if nothing is missing.
+func (c *Recovery) endPhase(p recover.Phase, without string) bool {
+	before := c.phases.Since()
+	if !c.phases.Pass(c.host.Now(), p, without) {
 		return false
 	}
-	f := []zap.Field{zap.Stringer("phase", c.course.Phase()), zap.Duration("after", c.host.Now()-before)}
+	fields := []zap.Field{zap.Stringer("phase", c.phases.Phase()), zap.Duration("after", c.host.Now()-before)}
 	if without != "" {
-		c.host.Log().Warn("coming back", append(f, zap.String("without", without))...)
+		c.host.Log().Warn("coming back", append(fields, zap.String("without", without))...)
 	} else {
-		c.host.Log().Info("coming back", f...)
+		c.host.Log().Info("coming back", fields...)
 	}
-	if c.course.Phase() == recover.Full {
-		c.gw.AssumeRate(0, 0)
+	if c.phases.Phase() == recover.Full {
+		c.gateway.AssumeRate(0, 0)
 		c.host.Republish()
 	}
 	return true
 }
 
-// Phase is how far the gateway has come back.
-func (c *Recovery) Phase() recover.Phase { return c.course.Phase() }
+// Phase returns the present phase of recovery.
+func (c *Recovery) Phase() recover.Phase { return c.phases.Phase() }
 
-// Course says it in words, with what it goes on without.
-func (c *Recovery) Course() (phase string, without []string) {
-	return c.course.Phase().String(), c.course.Poorer()
+// Progress returns the present phase in words, and what the gateway has to do without.
+func (c *Recovery) Progress() (phase string, without []string) {
+	return c.phases.Phase().String(), c.phases.Poorer()
 }
 
-// Figures shows how far the gateway has come back.
-func (c *Recovery) Figures(show func(name string, value int)) {
-	show("phase", int(c.course.Phase()))
-	show("poorer", len(c.course.Poorer()))
-	show("held", len(c.held))
-	show("unsaid", c.late)
+// Metrics reports the progress of recovery.
+func (c *Recovery) Metrics(report func(name string, value int)) {
+	report("phase", int(c.phases.Phase()))
+	report("poorer", len(c.phases.Poorer()))
+	report("held", len(c.held))
+	report("unsaid", c.unsent)
 }
 
-// Save returns what is known now.
+// Save returns the present state, encoded later. Before clients are admitted nothing is saved, so that the former state is kept.
 func (c *Recovery) Save() func() ([]byte, error) {
 	if !c.begun {
 		return nil
 	}
-	m := c.gw.Remember()
-	c.stands = standing(m)
-	if c.course.Phase() < recover.Admitting {
+	memory := c.gateway.Remember()
+	c.copies = provenCopies(memory)
+	if c.phases.Phase() < recover.Admitting {
 		return nil
 	}
-	if c.course.Phase() == recover.Full {
-		c.former = max(m.Rate(c.host.Now()), c.former*formerFade)
+	if c.phases.Phase() == recover.Full {
+		c.formerRate = max(memory.Rate(c.host.Now()), c.formerRate*formerRateDecay)
 	}
-	s := &recover.Saved{At: c.host.Stamp(), Event: c.gw.Event(), Roster: c.gw.Saved(), Marks: maps.Clone(c.marks), Module: m, Former: c.former,
-		Alive: c.host.View().Alive()}
-	for _, name := range slices.Sorted(maps.Keys(c.members)) {
-		s.List, s.Addrs = append(s.List, c.members[name].Host), append(s.Addrs, c.members[name].Addr)
+	saved := &recover.Saved{At: c.host.Stamp(), Event: c.gateway.LastEvent(), Roster: c.gateway.Saved(), Marks: maps.Clone(c.bans),
+		Module: memory, Former: c.formerRate, Alive: c.host.View().Alive()}
+	for _, name := range slices.Sorted(maps.Keys(c.workers)) {
+		saved.List, saved.Addrs = append(saved.List, c.workers[name].Host), append(saved.Addrs, c.workers[name].Addr)
 	}
-	return func() ([]byte, error) { return msgpack.Marshal(s) }
+	return func() ([]byte, error) { return msgpack.Marshal(saved) }
 }
--- a/internal/fleet/renumber.go
+++ b/internal/fleet/renumber.go
@@ -10,65 +10,67 @@
 	"quillrail/internal/fleet/member"
 )
 
-// partIncarnation names the messages by which a gateway is told of a later incarnation of its name.
+// partIncarnation is the name of the part, whose messages notify a gateway that a later incarnation of its name is known.
 const partIncarnation = "incarnation"
 
-// laterKnown says to a process that its incarnation counts as an earlier one, since a higher number of its name has been heard of.
+// laterKnown notifies a process that peers consider its incarnation an earlier one, since they have observed a higher number of
+// its name.
 type laterKnown struct {
-	Taken  member.Incarnation // the one that the process goes by
-	Higher uint64             // the number that has been heard of
+	Current member.Incarnation `msgpack:"Taken"` // the process's present incarnation
+	Higher  uint64             // the highest number observed
 }
 
-// Check reports what no message can hold.
+// Check returns an error unless the observed number is at least the present one.
 func (m *laterKnown) Check() error {
-	if m.Taken.N == 0 || m.Higher < m.Taken.N {
-		return fmt.Errorf("fleet: incarnation %d after %d", m.Taken.N, m.Higher)
+	if m.Current.Number == 0 || m.Higher < m.Current.Number {
+		return fmt.Errorf("fleet: incarnation %d is notified of %d, which is lower", m.Current.Number, m.Higher)
 	}
 	return nil
 }
 
-// renumbering is the part that mends incarnations which were taken too low: a process that starts without its disk takes its number
-// from the wall clock, which may have been stepped back since the last one was taken. Who hears of such a process tells it, and
-// it goes on under a later number. A process that another one has followed is not at its address any more, so it is not asked.
+// renumbering is the part that corrects incarnation numbers that were chosen too low. A process that starts without its disk takes
+// its number from the wall clock, which may have been stepped back since the former process took its number. Gateways that
+// observe such a process notify it, and it continues under a later number. A process that has been replaced by a later one is not
+// notified, since it is no longer at its address.
 type renumbering struct {
 	Base
 	n *Node
 }
 
-// Name names the part's messages.
+// Name returns the name of the part's messages.
 func (*renumbering) Name() string { return partIncarnation }
 
-// MemberChanged tells a process that is there that its incarnation counts as an earlier one.
+// MemberChanged notifies a process that is alive if its incarnation is earlier than one observed before.
 func (r *renumbering) MemberChanged(e member.Event, what member.Transition) {
-	if what != member.Stale || e.State >= member.Suspected || r.n.net == nil {
+	if what != member.Stale || e.State >= member.Suspected || r.n.transport == nil {
 		return
 	}
-	body, err := msgpack.Marshal(&laterKnown{Taken: e.Card.Life, Higher: r.n.view.Heard(e.Card.Name)})
+	body, err := msgpack.Marshal(&laterKnown{Current: e.Metadata.Incarnation, Higher: r.n.view.LatestIncarnation(e.Metadata.Name)})
 	if err != nil {
-		r.n.log.Error("a gateway can't be told of its later incarnation", zap.Error(err))
+		r.n.log.Error("notice of a later incarnation can't be encoded", zap.Error(err))
 		return
 	}
-	r.n.net.Send(e.Card.Name, link.Message{Part: partIncarnation, Body: body})
+	r.n.transport.Send(e.Metadata.Name, link.Message{Part: partIncarnation, Body: body})
 }
 
-// Receive has this process go on under a later incarnation, if what it is told is of the one that it goes by.
+// Receive continues under a later incarnation, if the notice is about this process's present one.
 func (r *renumbering) Receive(m Received) {
 	var later laterKnown
-	if m.How != Message || decode(m.Body, &later) != nil || later.Taken != r.n.life {
+	if m.Channel != Message || decode(m.Body, &later) != nil || later.Current != r.n.incarnation {
 		return
 	}
 	r.n.renumber(later.Higher)
 }
 
-// renumber goes on under an incarnation later than a number, and tells the disk and the others.
+// renumber continues under an incarnation later than a number, which it stores and announces.
 func (n *Node) renumber(higher uint64) {
-	if n.ended || n.net == nil || !n.view.Renumber(member.Next(higher, 0, 0, n.life.Tag)) {
+	if n.stopped || n.transport == nil || !n.view.Renumber(member.Next(higher, 0, 0, n.incarnation.Tag)) {
 		return
 	}
 	n.log.Warn("others have heard of a later incarnation: this process goes on under one later still",
-		zap.Uint64("was", n.life.N), zap.Uint64("heard", higher))
-	n.life = n.view.Self().Life
-	n.saveLife()
-	n.net.Renumber(n.life.N)
-	n.net.Say(n.view.Self())
+		zap.Uint64("was", n.incarnation.Number), zap.Uint64("heard", higher))
+	n.incarnation = n.view.Self().Incarnation
+	n.saveIncarnation()
+	n.transport.Renumber(n.incarnation.Number)
+	n.transport.Announce(n.view.Self())
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -15,135 +15,138 @@
 )
 
 const (
-	tellEvery       = 50 * time.Millisecond // copies that were found are told so often
-	foundCopiesMost = 40                    // in one piece of news
+	broadcastInterval = 50 * time.Millisecond // pace of broadcasts of functions found to be loaded
+	maxFoundFunctions = 40                    // in one broadcast
 )
 
-// report is what is told unasked.
+// report is what this part sends to other gateways without a request: changed bans, or functions found to be loaded.
 type report struct {
-	Marks  recover.Checkpoints
-	Stands []string // functions that were found
+	Bans      recover.Checkpoints `msgpack:"Marks"`
+	Functions []string            `msgpack:"Stands"` // functions that were found to be loaded
 }
 
-// Check reports what no finding can hold.
-func (x *report) Check() error {
-	if len(x.Stands) > foundCopiesMost {
-		return fmt.Errorf("fleet: news of %d functions", len(x.Stands))
+// Check returns an error if there are too many functions, or a ban is invalid.
+func (r *report) Check() error {
+	if len(r.Functions) > maxFoundFunctions {
+		return fmt.Errorf("fleet: report of %d functions exceeds the limit", len(r.Functions))
 	}
-	return x.Marks.Check()
+	return r.Bans.Check()
 }
 
-// LocalState returns what is known, for who asks.
+// LocalState returns the state that this gateway sends to others.
 func (c *Recovery) LocalState() []byte {
-	w := &recover.Answer{Marks: c.marks, Started: map[string]int64{}, Stands: map[string][]recover.Copy{}, Rate: c.former,
-		Full: c.course.Phase() == recover.Full}
+	answer := &recover.Answer{Marks: c.bans, Started: map[string]int64{}, Stands: map[string][]recover.Copy{}, Rate: c.formerRate,
+		Full: c.phases.Phase() == recover.Full}
 	if c.begun {
-		w.Event = c.gw.Event()
+		answer.Event = c.gateway.LastEvent()
 		now := c.host.Now()
-		for _, m := range c.members {
+		for _, m := range c.workers {
 			if m.State == decide.Draining {
-				w.Draining = append(w.Draining, m.Name)
+				answer.Draining = append(answer.Draining, m.Name)
 			}
-			if age := now - m.Since; m.Since > 0 && age >= 0 && age < c.set.ColdFor {
-				w.Started[m.Name] = age.Milliseconds()
+			if age := now - m.Since; m.Since > 0 && age >= 0 && age < c.settings.ColdFor {
+				answer.Started[m.Name] = age.Milliseconds()
 			}
 		}
-		for _, s := range c.stands {
-			w.Stands[s.Function] = append(w.Stands[s.Function], recover.Copy{Worker: s.Worker, Age: max(0, (now - s.At).Milliseconds())})
+		for _, s := range c.copies {
+			answer.Stands[s.Function] = append(answer.Stands[s.Function],
+				recover.Copy{Worker: s.Worker, Age: max(0, (now - s.ProvenAt).Milliseconds())})
 		}
 	}
-	b, err := msgpack.Marshal(w)
+	b, err := msgpack.Marshal(answer)
 	if err != nil {
-		c.host.Log().Error("what is known can't be told", zap.Error(err))
+		c.host.Log().Error("local state can't be encoded", zap.Error(err))
 		return nil
 	}
 	return b
 }
 
-// Receive takes what another gateway knows, or has found.
+// Receive handles another gateway's state, or its report of changed bans and found functions.
 func (c *Recovery) Receive(m Received) {
-	if m.How == Answer {
-		c.heard(m.Body)
+	if m.Channel == Answer {
+		c.receiveAnswer(m.Body)
 		return
 	}
-	var x report
-	if err := decode(m.Body, &x); err != nil {
-		c.host.Log().Warn("news are not understood", zap.Error(err))
+	var message report
+	if err := decode(m.Body, &message); err != nil {
+		c.host.Log().Warn("report of another gateway can't be decoded", zap.Error(err))
 		return
 	}
-	c.take(x.Marks)
-	if c.admit != nil {
-		for _, fn := range x.Stands {
-			c.admit.Stands(fn)
+	c.applyBans(message.Bans)
+	if c.admission != nil {
+		for _, fn := range message.Functions {
+			c.admission.Stands(fn)
 		}
 	}
 }
 
-func (c *Recovery) heard(b []byte) {
-	var w recover.Answer
-	if err := decode(b, &w); err != nil {
-		c.host.Log().Warn("another gateway's word is not understood", zap.Error(err))
+// receiveAnswer adds another gateway's state to what is known of all peers.
+func (c *Recovery) receiveAnswer(b []byte) {
+	var answer recover.Answer
+	if err := decode(b, &answer); err != nil {
+		c.host.Log().Warn("state of another gateway can't be decoded", zap.Error(err))
 		return
 	}
-	if c.admit != nil {
-		for fn := range w.Stands {
-			c.admit.Stands(fn)
+	if c.admission != nil {
+		for fn := range answer.Stands {
+			c.admission.Stands(fn)
 		}
 	}
-	if c.begun { // the module learns the rest by itself
-		w.Stands, w.Started = nil, nil
+	if c.begun { // from now on the module itself observes copies and worker starts
+		answer.Stands, answer.Started = nil, nil
 	}
-	c.agreed.Add(&w, c.host.Now())
-	c.take(w.Marks)
-	c.hold()
+	c.peerState.Add(&answer, c.host.Now())
+	c.applyBans(answer.Marks)
+	c.updateHeld()
 }
 
-// broadcastFoundCopies passes on what was found while the fleet comes back, so that each function is loaded once for all.
-func (c *Recovery) broadcastFoundCopies() {
-	if len(c.foundCopies) == 0 || !c.host.May() {
+// broadcastFoundFunctions sends the functions found to be loaded during recovery to all gateways, so that each needs
+// only one first load in the whole fleet.
+func (c *Recovery) broadcastFoundFunctions() {
+	if len(c.foundFunctions) == 0 || !c.host.MayAct() {
 		return
 	}
-	k := min(foundCopiesMost, len(c.foundCopies))
-	if b, err := msgpack.Marshal(&report{Stands: c.foundCopies[:k]}); err != nil || !c.host.Broadcast(b) {
-		c.late++
+	k := min(maxFoundFunctions, len(c.foundFunctions))
+	if b, err := msgpack.Marshal(&report{Functions: c.foundFunctions[:k]}); err != nil || !c.host.Broadcast(b) {
+		c.unsent++
 	}
-	c.foundCopies = append([]string(nil), c.foundCopies[k:]...)
+	c.foundFunctions = append([]string(nil), c.foundFunctions[k:]...)
 }
 
-// BroadcastBan passes on that an operator has left a worker out here, or uses it again.
+// BroadcastBan sends to all gateways that an operator has banned a worker here, or ended its ban.
 func (c *Recovery) BroadcastBan(id string, banned bool, since time.Duration) {
-	if k, known := c.marks[id]; known && k.Banned == banned {
+	if k, known := c.bans[id]; known && k.Banned == banned {
 		return
 	}
-	k := c.marks.Say(id, banned, since)
+	k := c.bans.Say(id, banned, since)
 	c.host.SaveSoon()
-	b, err := msgpack.Marshal(&report{Marks: recover.Checkpoints{id: k}})
+	b, err := msgpack.Marshal(&report{Bans: recover.Checkpoints{id: k}})
 	if err != nil {
-		c.late++
+		c.unsent++
 		return
 	}
-	c.host.SendAll(b)   // it must not be late,
-	c.host.Broadcast(b) // and has to reach those, too, to whom no link comes up
+	c.host.SendAll(b)   // gossip may be late,
+	c.host.Broadcast(b) // but also reaches gateways to which no link can be opened
 	c.host.Republish()
 }
 
-// take puts marks of others into effect.
-func (c *Recovery) take(m recover.Checkpoints) {
-	newer, refused := c.marks.Join(m)
+// applyBans applies bans, and ends of bans, from other gateways.
+func (c *Recovery) applyBans(m recover.Checkpoints) {
+	newer, refused := c.bans.Join(m)
 	if refused > 0 {
-		c.late += refused
-		c.host.Log().Warn("marks of other gateways find no room", zap.Int("refused", refused))
+		c.unsent += refused
+		c.host.Log().Warn("bans of other gateways exceed the limit", zap.Int("refused", refused))
 	}
 	if !c.begun {
 		return
 	}
 	for _, id := range newer {
-		if k := c.marks[id]; k.Banned {
-			c.gw.Ban(roster.Ban{ID: id, Since: k.Since})
+		if k := c.bans[id]; k.Banned {
+			c.gateway.Ban(roster.Ban{ID: id, Since: k.Since})
 		} else {
-			c.gw.CallBack(id)
+			c.gateway.Unban(id)
 		}
-		c.host.Log().Info("another gateway's word on a worker", zap.String("worker", id), zap.Bool("left_out", c.marks[id].Banned))
+		c.host.Log().Info("ban of a worker changed by another gateway", zap.String("worker", id), zap.Bool("left_out", c.bans[id].Banned))
 	}
 	if len(newer) > 0 {
 		c.host.SaveSoon()
@@ -151,27 +154,28 @@
 	}
 }
 
-// Told notes a change of the list; Begin's own, too. It is called after the gateway has taken it.
-func (c *Recovery) Told(whole bool, members []core.Member) {
+// ListChanged records a change of the worker list, including the initial list. It is called after the gateway has applied it. whole
+// means that members is the complete list.
+func (c *Recovery) ListChanged(whole bool, members []core.Member) {
 	if whole {
-		clear(c.members)
+		clear(c.workers)
 	}
 	for _, m := range members {
 		if m.State == decide.Gone {
-			delete(c.members, m.Name)
+			delete(c.workers, m.Name)
 		} else {
-			c.members[m.Name] = m
+			c.workers[m.Name] = m
 		}
 	}
-	c.hold()
+	c.updateHeld()
 }
 
-// hold leaves alone what others know to drain by a newer list than ours.
-func (c *Recovery) hold() {
+// updateHeld holds back the workers that peers list as draining, by a newer list than this gateway's.
+func (c *Recovery) updateHeld() {
 	if !c.begun {
 		return
 	}
-	held := c.agreed.Held(c.gw.Event())
+	held := c.peerState.Held(c.gateway.LastEvent())
 	if maps.Equal(held, c.held) {
 		return
 	}
@@ -180,18 +184,18 @@
 	for id := range held {
 		ids[id] = true
 	}
-	c.gw.Hold(ids)
+	c.gateway.Hold(ids)
 	if len(ids) > 0 {
-		c.host.Log().Info("workers that others know to drain are left alone", zap.Int("workers", len(ids)))
+		c.host.Log().Info("workers that peers list as draining are held back", zap.Int("workers", len(ids)))
 	}
 }
 
-// standing are the copies that a memory knows to have been found.
-func standing(m *decide.Snapshot) (out []Stand) {
+// provenCopies returns the copies that calls have found loaded, from the module's memory.
+func provenCopies(m *decide.Snapshot) (out []LoadedCopy) {
 	for _, f := range m.Functions {
 		for _, p := range f.Placements {
 			if p.Loaded && p.ConfirmedAt > 0 {
-				out = append(out, Stand{f.Name, p.Worker, p.ConfirmedAt})
+				out = append(out, LoadedCopy{f.Name, p.Worker, p.ConfirmedAt})
 			}
 		}
 	}
--- a/internal/fleet/settings_test.go
+++ b/internal/fleet/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const good = `enabled = true
+const validSettings = `enabled = true
 fleet = "f"
 bind = "10.0.0.1:7946"
 seeds = ["127.0.0.1:7946", "192.168.1.9:7946"]
@@ -15,17 +15,18 @@
 first_loads = 3
 `
 
-// The file that is delivered turns the fleet off; one that is wrong is refused with its place.
-func TestSettings(t *testing.T) {
+// The delivered file disables the fleet, as does a missing file. A wrong setting is reported by its name, a file that can't be
+// parsed by its path.
+func TestSettingsAreReadAndChecked(t *testing.T) {
 	s, err := Read("../../deploy/fleet.toml")
-	if err != nil || s.Enabled || s.Loads != 16 {
-		t.Errorf("as delivered: %+v, %v", s, err)
+	if err != nil || s.Enabled || s.FirstLoads != 16 {
+		t.Errorf("delivered file: %+v, %v", s, err)
 	}
 	if s, err := Read(filepath.Join(t.TempDir(), "none")); err != nil || s.Enabled {
-		t.Errorf("no file: %+v, %v", s, err)
+		t.Errorf("missing file: %+v, %v", s, err)
 	}
-	if s, err := Parse(good); err != nil || s.Loads != 3 || len(s.Seeds) != 2 {
-		t.Errorf("%+v, %v", s, err)
+	if s, err := Parse(validSettings); err != nil || s.FirstLoads != 3 || len(s.Seeds) != 2 {
+		t.Errorf("valid settings: %+v, %v", s, err)
 	}
 	for change, want := range map[string]string{
 		`dir = "/var/lib/quillrail"|`:                        "dir",
@@ -39,7 +40,7 @@
 		`seeds = ["127.0.0.1:7946"|seeds = ["gateway1:7946"`: "seeds",
 	} {
 		from, to, _ := strings.Cut(change, "|")
-		text := strings.Replace(good, from, to, 1)
+		text := strings.Replace(validSettings, from, to, 1)
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", change, err)
 		}
@@ -49,6 +50,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(path); err == nil || !strings.Contains(err.Error(), path) {
-		t.Errorf("a torn file: %v", err)
+		t.Errorf("truncated file: %v", err)
 	}
 }
--- a/internal/fleet/store/bolt.go
+++ b/internal/fleet/store/bolt.go
@@ -14,8 +14,9 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// renew writes entries into a new file in place of the old one, which is kept where that fails.
-func renew(path string, old *bolt, good, sealed map[string][]byte) (*bolt, error) {
+// rewriteFile writes the sealed entries whose keys are in good into a new file and replaces the old file by it. If that fails,
+// the old file stays in use.
+func rewriteFile(path string, old *bolt, good, sealed map[string][]byte) (*bolt, error) {
 	os.Remove(path + ".new")
 	fresh, err := openBolt(path + ".new")
 	if err != nil {
@@ -34,16 +35,17 @@
 	return fresh, nil
 }
 
-// bolt is the database on disk.
+// bolt is a bbolt database, the implementation of disk that is used outside tests.
 type bolt struct{ db *bbolt.DB }
 
-// guarded calls f, and makes an error of what bbolt panics with when its pages hold nonsense, also of a page that the
-// kernel can't read. Entries are read and written on one goroutine at a time, so that the setting is its own.
-func guarded(place string, f func() error) (err error) {
+// catchPanics calls f and turns a panic into a CorruptError. bbolt panics when its pages hold invalid data, and a mapped page
+// that the kernel can't read raises a fault, which SetPanicOnFault turns into a panic as well. That setting applies to the
+// current goroutine only, which is enough since f reads and writes the file on the calling goroutine.
+func catchPanics(location string, f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = &SpoiltError{place, fmt.Errorf("%v", p)}
+			err = &CorruptError{location, fmt.Errorf("%v", p)}
 		}
 	}()
 	return f()
@@ -51,26 +53,27 @@
 
 func openBolt(path string) (*bolt, error) {
 	if info, err := os.Stat(path); err == nil && info.Size() > maxFile {
-		return nil, &SpoiltError{path, fmt.Errorf("%d bytes", info.Size())}
+		return nil, &CorruptError{path, fmt.Errorf("file of %d bytes is larger than any store", info.Size())}
 	}
 	b := &bolt{}
-	err := guarded(path, func() (err error) {
-		b.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockLimit, FreelistType: bbolt.FreelistMapType})
+	err := catchPanics(path, func() (err error) {
+		b.db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, FreelistType: bbolt.FreelistMapType})
 		return err
 	})
-	var no syscall.Errno
-	if spoilt := (*SpoiltError)(nil); err != nil && !errors.Is(err, berrors.ErrTimeout) && !errors.As(err, &no) && !errors.As(err, &spoilt) {
-		return nil, &SpoiltError{path, err} // neither the lock nor the system: the file itself
+	var errno syscall.Errno
+	if corrupt := (*CorruptError)(nil); err != nil && !errors.Is(err, berrors.ErrTimeout) && !errors.As(err, &errno) &&
+		!errors.As(err, &corrupt) {
+		return nil, &CorruptError{path, err} // neither the lock nor a system call failed: the file itself is corrupt
 	}
 	return b, err
 }
 
-// buckets are those of the file and how many keys each may have.
-var buckets = map[string]int{bucket: maxKeys, logBucket: maxLog}
+// buckets holds the buckets of the file and the largest number of keys in each.
+var buckets = map[string]int{bucket: maxKeys, logBucket: maxLogKeys}
 
-// bucketOf is the bucket of a key.
+// bucketOf returns the name of the bucket that holds a key.
 func bucketOf(key string) []byte {
-	if strings.HasPrefix(key, Log) {
+	if strings.HasPrefix(key, LogPrefix) {
 		return []byte(logBucket)
 	}
 	return []byte(bucket)
@@ -79,16 +82,16 @@
 func (b *bolt) load() (entries map[string][]byte, err error) {
 	entries = map[string][]byte{}
 	path := b.db.Path()
-	err = guarded(path, func() error {
+	err = catchPanics(path, func() error {
 		return b.db.View(func(tx *bbolt.Tx) error {
-			for name, most := range buckets {
+			for name, limit := range buckets {
 				t, n := tx.Bucket([]byte(name)), 0
 				if t == nil {
 					continue
 				}
 				err := t.ForEach(func(k, v []byte) error {
-					if n++; n > most {
-						return &SpoiltError{path, fmt.Errorf("more than %d entries", most)}
+					if n++; n > limit {
+						return &CorruptError{path, fmt.Errorf("more than %d entries", limit)}
 					}
 					entries[string(k)] = slices.Clone(v)
 					return nil
@@ -104,7 +107,7 @@
 }
 
 func (b *bolt) write(entries map[string][]byte) error {
-	return guarded(b.db.Path(), func() error {
+	return catchPanics(b.db.Path(), func() error {
 		return b.db.Update(func(tx *bbolt.Tx) error {
 			for _, key := range slices.Sorted(maps.Keys(entries)) {
 				t, err := tx.CreateBucketIfNotExists(bucketOf(key))
@@ -125,4 +128,4 @@
 	})
 }
 
-func (b *bolt) close() error { return guarded(b.db.Path(), b.db.Close) }
+func (b *bolt) close() error { return catchPanics(b.db.Path(), b.db.Close) }
--- a/internal/fleet/store/commit.go
+++ b/internal/fleet/store/commit.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// run commits pending writes until the store is closed. After a failed commit it tries again once s.retry has passed.
 func (s *Store) run() {
 	defer close(s.done)
 	for {
@@ -17,9 +18,9 @@
 			last = true
 		case <-s.wake:
 		}
-		if !last && !s.urgent() {
+		if !last && !s.hasGroups() {
 			select {
-			case <-time.After(together):
+			case <-time.After(batchWindow):
 			case <-s.quit:
 				last = true
 			}
@@ -41,29 +42,29 @@
 	}
 }
 
-// urgent reports whether somebody waits for the sync.
-func (s *Store) urgent() bool {
+// hasGroups reports whether groups are pending. Their callers wait for the sync, so that these are written without delay.
+func (s *Store) hasGroups() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.group) > 0
+	return len(s.groups) > 0
 }
 
-// commit writes what waits. What can't be written is tried again, unless something newer has come; what can't be encoded
-// never will be.
+// commit writes all pending groups and entries with one sync. When the write fails, everything is queued again, except entries
+// that a newer one of their key has replaced. Entries that can't be encoded are dropped, since another attempt would fail too.
 func (s *Store) commit() error {
 	s.mu.Lock()
-	work := s.next
-	s.next = map[string]func() ([]byte, error){}
-	groups := s.group
-	s.group = nil
+	work := s.pending
+	s.pending = map[string]func() ([]byte, error){}
+	groups := s.groups
+	s.groups = nil
 	seq := s.seq
 	s.seq += uint64(len(work))
 	for _, g := range groups {
 		s.seq += uint64(len(g.entries))
 	}
-	s.busy = s.now()
+	s.writeBegan = s.now()
 	s.mu.Unlock()
-	var bad, failed error
+	var encodeErr, writeErr error
 	entries := map[string][]byte{}
 	for _, g := range groups {
 		for _, key := range slices.Sorted(maps.Keys(g.entries)) {
@@ -77,39 +78,39 @@
 	for _, key := range slices.Sorted(maps.Keys(work)) {
 		value, err := work[key]()
 		if err == nil && len(value) > maxValue {
-			err = fmt.Errorf("entry %s has %d bytes", key, len(value))
+			err = fmt.Errorf("entry %s of %d bytes is too large", key, len(value))
 		}
 		if err != nil {
-			bad = errors.Join(bad, err)
+			encodeErr = errors.Join(encodeErr, err)
 			continue
 		}
 		seq++
 		entries[key] = seal(key, seq, value)
 	}
 	if len(entries) > 0 {
-		failed = s.d.write(entries)
+		writeErr = s.disk.write(entries)
 	}
-	if failed == nil {
+	if writeErr == nil {
 		for _, g := range groups {
 			g.done(nil)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busy = time.Time{}
-	if s.stat.Err = ""; bad != nil || failed != nil {
-		s.stat.Err = errors.Join(bad, failed).Error()
-		s.stat.Lost++
+	s.writeBegan = time.Time{}
+	if s.stats.Err = ""; encodeErr != nil || writeErr != nil {
+		s.stats.Err = errors.Join(encodeErr, writeErr).Error()
+		s.stats.Lost++
 	}
-	if failed == nil {
-		s.stat.Saved += uint64(len(entries))
+	if writeErr == nil {
+		s.stats.Saved += uint64(len(entries))
 		return nil
 	}
 	for key := range work {
-		if _, newer := s.next[key]; !newer && entries[key] != nil {
-			s.next[key] = work[key]
+		if _, newer := s.pending[key]; !newer && entries[key] != nil {
+			s.pending[key] = work[key]
 		}
 	}
-	s.group = append(groups, s.group...)
-	return failed
+	s.groups = append(groups, s.groups...)
+	return writeErr
 }
--- a/internal/fleet/store/disk_test.go
+++ b/internal/fleet/store/disk_test.go
@@ -10,21 +10,22 @@
 	"time"
 )
 
-// A folder that is not there, and one that another process has.
-func TestNoDisk(t *testing.T) {
+// Open fails if the folder is missing, or if the file is already open.
+func TestOpenFailsOnMissingOrLockedFolder(t *testing.T) {
 	dir := t.TempDir()
 	if _, _, err := Open(filepath.Join(dir, "none")); err == nil {
-		t.Error("a missing folder is opened")
+		t.Error("a missing folder was opened")
 	}
-	s, _ := opened(t, dir)
+	s, _ := mustOpen(t, dir)
 	defer s.Close(time.Second)
 	if _, _, err := Open(dir); err == nil {
-		t.Error("a store is opened twice")
+		t.Error("a store was opened twice")
 	}
 }
 
-// slow is a disk that blocks or fails until it is let go.
-type slow struct {
+// blockingDisk is a disk whose writes block until gate is received from or closed, and fail with the error in fail. Each write
+// is announced on writes.
+type blockingDisk struct {
 	mu     sync.Mutex
 	fail   error
 	gate   chan struct{}
@@ -32,11 +33,11 @@
 	writes chan struct{}
 }
 
-func (d *slow) load() (map[string][]byte, error) { return nil, nil }
+func (d *blockingDisk) load() (map[string][]byte, error) { return nil, nil }
 
-func (d *slow) close() error { return nil }
+func (d *blockingDisk) close() error { return nil }
 
-func (d *slow) write(entries map[string][]byte) error {
+func (d *blockingDisk) write(entries map[string][]byte) error {
 	d.writes <- struct{}{}
 	<-d.gate
 	d.mu.Lock()
@@ -47,28 +48,28 @@
 	return d.fail
 }
 
-// A disk that is stuck or full makes nobody wait: newer entries take the place of older ones, losses are counted, and
-// what is newest is written once there is room.
-func TestStuckAndFullDisk(t *testing.T) {
-	d := &slow{fail: errors.New("no space left"), gate: make(chan struct{}), wrote: map[string][]byte{}, writes: make(chan struct{}, 9)}
+// A blocked or full disk blocks no caller: newer entries replace older ones, failed writes are counted, and the newest entry is
+// written once the disk has room again.
+func TestBlockedAndFullDiskKeepsNewestEntry(t *testing.T) {
+	d := &blockingDisk{fail: errors.New("no space left"), gate: make(chan struct{}), wrote: map[string][]byte{}, writes: make(chan struct{}, 9)}
 	s := newStore(d)
 	s.retry = time.Millisecond
 	now := time.Now()
 	s.now = func() time.Time { return now }
 	go s.run()
 	put(s, "a", "1")
-	<-d.writes // it is stuck
+	<-d.writes // the first write blocks
 	for i := range 100 {
 		put(s, "a", fmt.Sprint(i))
 	}
 	now = now.Add(3 * time.Second)
 	if st := s.Stats(); st.Busy != 3*time.Second || st.Replaced != 99 {
-		t.Errorf("stuck: %+v", st)
+		t.Errorf("while the disk blocks: %+v", st)
 	}
 	d.gate <- struct{}{}
-	<-d.writes // it fails, and is tried again with what is newest
+	<-d.writes // the first write has failed, and the newest entry is being written
 	if st := s.Stats(); st.Lost != 1 || st.Err == "" {
-		t.Errorf("full: %+v", st)
+		t.Errorf("after the disk was full: %+v", st)
 	}
 	d.mu.Lock()
 	d.fail = nil
@@ -83,6 +84,6 @@
 		t.Errorf("written: %q, %v", value, err)
 	}
 	if st := s.Stats(); st.Saved != 1 || st.Err != "" {
-		t.Errorf("in the end: %+v", st)
+		t.Errorf("after closing: %+v", st)
 	}
 }
--- a/internal/fleet/store/store.go
+++ b/internal/fleet/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps on disk what a gateway has to know after a power loss: a few entries by key, the newest of each. It
-// writes on a goroutine of its own, many entries with one sync, and never makes a caller wait. The file is a bbolt
-// database; each entry carries its own checksum and version besides, since bbolt has none on its pages.
+// Package store stores on disk the state that a gateway needs after a power loss: a small number of entries by key, the newest
+// value of each. It writes on its own goroutine, several entries with one sync, and never blocks a caller. The file is a bbolt
+// database. Each entry carries a checksum and a version of its own, since bbolt has no checksums on its data pages.
 package store
 
 import (
@@ -18,74 +18,74 @@
 const File = "fleet.db"
 
 const (
-	bucket    = "entries"
-	logBucket = "log"
-	version   = 1
-	maxValue  = 4 << 20  // bytes of an entry
-	maxKeys   = 64       // besides those of the log
-	maxLog    = 1 << 16  // entries of the log
-	maxWaits  = 1024     // groups of entries that wait to be written
-	maxFile   = 64 << 20 // bytes; a larger file is none of ours
-	lockLimit = 300 * time.Millisecond
-	together  = 20 * time.Millisecond // what comes within it is written with one sync
-	retryPace = time.Second           // after a write that failed
-	headBytes = 2 + 1 + 8 + 4 + 4
+	bucket      = "entries"
+	logBucket   = "log"
+	version     = 1
+	maxValue    = 4 << 20  // bytes of an entry's value
+	maxKeys     = 64       // entries outside the log
+	maxLogKeys  = 1 << 16  // entries of the log
+	maxGroups   = 1024     // groups that may be pending
+	maxFile     = 64 << 20 // bytes; a larger file was not written by this program
+	lockTimeout = 300 * time.Millisecond
+	batchWindow = 20 * time.Millisecond // entries put within this time are written with one sync
+	retryDelay  = time.Second           // after a failed write
+	headerBytes = 2 + 1 + 8 + 4 + 4
 )
 
-// Found is what a store held when it was opened.
+// Found is what Open found on disk.
 type Found struct {
 	Entries map[string][]byte
-	Refused []string // what was spoilt, with its place; none of it is in Entries
-	Aside   string   // where the file was moved that could not be used at all, "" if it could
+	Refused []string // for each corrupt part of the file, its location and what is wrong; none of it is in Entries
+	MovedTo string   // the new path of a file that could not be used at all; "" if it was usable
 }
 
-// Stats are what a store has done.
+// Stats counts the writes of a store.
 type Stats struct {
 	Saved    uint64        // entries written and synced
-	Replaced uint64        // entries that a newer one of their key overtook before they were written
-	Lost     uint64        // writes that failed; what they held is tried again with what is newer
-	Busy     time.Duration // how long the write under way has taken so far
-	Err      string        // of the last write, "" if it succeeded
+	Replaced uint64        // entries replaced by a newer one of their key before they were written
+	Lost     uint64        // failed writes; their entries are written again, together with newer ones
+	Busy     time.Duration // how long the write in progress has taken so far
+	Err      string        // error of the last write, "" if it succeeded
 }
 
-// disk is what the store needs of a database.
+// disk is the database as the store uses it; tests replace it.
 type disk interface {
 	load() (map[string][]byte, error)
 	write(entries map[string][]byte) error
 	close() error
 }
 
-// group is what is written whole, or not at all.
+// group is a set of entries that is written in one transaction.
 type group struct {
-	entries map[string][]byte // nil values are removed
+	entries map[string][]byte // a nil value removes the key
 	done    func(error)
 }
 
-// ErrFull says that too much waits to be written.
-var ErrFull = errors.New("store: too much waits to be written")
+// ErrFull is passed to the callback of a group that is refused since too many groups are pending.
+var ErrFull = errors.New("store: too many groups are waiting to be written")
 
-// Log is how keys begin that are of a log: there may be many of them.
-const Log = "log/"
+// LogPrefix is the prefix of the keys of log entries, which have a bucket of their own with a higher limit on keys.
+const LogPrefix = "log/"
 
 // Store is an open store. Its methods may be called from any goroutine.
 type Store struct {
-	d     disk
-	now   func() time.Time
-	retry time.Duration
-	mu    sync.Mutex
-	next  map[string]func() ([]byte, error)
-	group []group // written in their order, before next
-	seq   uint64
-	stat  Stats
-	busy  time.Time
-	wake  chan struct{}
-	quit  chan struct{}
-	done  chan struct{}
+	disk       disk
+	now        func() time.Time
+	retry      time.Duration
+	mu         sync.Mutex
+	pending    map[string]func() ([]byte, error)
+	groups     []group // written in this order, before pending
+	seq        uint64
+	stats      Stats
+	writeBegan time.Time
+	wake       chan struct{}
+	quit       chan struct{}
+	done       chan struct{}
 }
 
-// Open opens the store in a folder, which has to exist, or makes a new one. A file that can't be read is moved aside and
-// named in Found, with what was wrong; the store is then empty. An error says that there is no store at all: the folder is
-// missing, read-only or full, or another process has it.
+// Open opens the store in a folder, which has to exist, and creates the file if there is none. A file that can't be read is
+// renamed, and the store is then empty; Found holds the new path and what is wrong. Open returns an error if there can be no
+// store at all: the folder is missing, read-only or full, or another process has the file open.
 func Open(dir string) (*Store, Found, error) {
 	path := filepath.Join(dir, File)
 	var found Found
@@ -96,10 +96,10 @@
 			d.close()
 		}
 	}
-	if spoilt := (*SpoiltError)(nil); errors.As(err, &spoilt) {
-		found.Refused = append(found.Refused, spoilt.Error())
-		found.Aside = path + ".spoilt"
-		if err := os.Rename(path, found.Aside); err != nil {
+	if corrupt := (*CorruptError)(nil); errors.As(err, &corrupt) {
+		found.Refused = append(found.Refused, corrupt.Error())
+		found.MovedTo = path + ".spoilt"
+		if err := os.Rename(path, found.MovedTo); err != nil {
 			return nil, found, fmt.Errorf("store: %w", err)
 		}
 		if d, err = openBolt(path); err == nil {
@@ -120,9 +120,9 @@
 		found.Entries[key] = value
 		s.seq = max(s.seq, seq)
 	}
-	if len(found.Entries) > 0 { // pages have no checksums: what was read whole goes into a file whose pages are sound
-		if fresh, err := renew(path, d, found.Entries, entries); err == nil {
-			s.d = fresh
+	if len(found.Entries) > 0 { // pages have no checksums and may be damaged: valid entries are copied to a new file
+		if fresh, err := rewriteFile(path, d, found.Entries, entries); err == nil {
+			s.disk = fresh
 		}
 	}
 	go s.run()
@@ -130,19 +130,19 @@
 }
 
 func newStore(d disk) *Store {
-	return &Store{d: d, now: time.Now, retry: retryPace, next: map[string]func() ([]byte, error){}, wake: make(chan struct{}, 1),
+	return &Store{disk: d, now: time.Now, retry: retryDelay, pending: map[string]func() ([]byte, error){}, wake: make(chan struct{}, 1),
 		quit: make(chan struct{}), done: make(chan struct{})}
 }
 
-// Put has an entry written in place of what its key held. encode is called on the store's goroutine, later; it must not
-// touch what others change.
+// Put queues an entry, which replaces the value of its key. encode is called later, on the store's goroutine; it must not
+// access data that other goroutines change.
 func (s *Store) Put(key string, encode func() ([]byte, error)) {
 	s.mu.Lock()
-	if _, waits := s.next[key]; waits {
-		s.stat.Replaced++
+	if _, replaced := s.pending[key]; replaced {
+		s.stats.Replaced++
 	}
-	if len(s.next) < maxKeys {
-		s.next[key] = encode
+	if len(s.pending) < maxKeys {
+		s.pending[key] = encode
 	}
 	s.mu.Unlock()
 	select {
@@ -151,14 +151,15 @@
 	}
 }
 
-// Write has a group of entries written, with one sync, after all groups that were given before: nothing of it is overtaken. A
-// nil value removes a key. done is called on the store's goroutine once they are on disk, also later where the disk fails for
-// a while; not at all if the store is closed before.
+// Write queues a group of entries, to be written with one sync, after all groups queued before; no entry of a group is skipped
+// for a newer one. A nil value removes a key. done is called on the store's goroutine once the group is on disk, which may be
+// later if the disk fails for a while, and never if the store is closed before. When too many groups are pending, done is
+// called at once with ErrFull.
 func (s *Store) Write(entries map[string][]byte, done func(error)) {
 	s.mu.Lock()
-	full := len(s.group) >= maxWaits
+	full := len(s.groups) >= maxGroups
 	if !full {
-		s.group = append(s.group, group{entries, done})
+		s.groups = append(s.groups, group{entries, done})
 	}
 	s.mu.Unlock()
 	if full {
@@ -171,24 +172,24 @@
 	}
 }
 
-// Stats returns what the store has done.
+// Stats returns the counters so far.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	st := s.stat
-	if !s.busy.IsZero() {
-		st.Busy = s.now().Sub(s.busy)
+	st := s.stats
+	if !s.writeBegan.IsZero() {
+		st.Busy = s.now().Sub(s.writeBegan)
 	}
 	return st
 }
 
-// Close writes what waits, if the disk takes it, and closes the file; it waits for at most limit.
+// Close writes what is pending, if the disk accepts it, and closes the file. It waits at most limit for the write.
 func (s *Store) Close(limit time.Duration) error {
 	close(s.quit)
 	select {
 	case <-s.done:
-		return s.d.close()
+		return s.disk.close()
 	case <-time.After(limit):
-		return errors.New("store: the disk is still busy")
+		return errors.New("store: the last write did not end within the time limit")
 	}
 }
--- a/internal/fleet/store/store_test.go
+++ b/internal/fleet/store/store_test.go
@@ -15,7 +15,7 @@
 	s.Put(key, func() ([]byte, error) { return []byte(value), nil })
 }
 
-func opened(t *testing.T, dir string) (*Store, Found) {
+func mustOpen(t *testing.T, dir string) (*Store, Found) {
 	t.Helper()
 	s, found, err := Open(dir)
 	if err != nil {
@@ -24,12 +24,13 @@
 	return s, found
 }
 
-// written has entries written in a new folder, one commit, and returns the file as it was before and after.
-func written(t *testing.T, first, second map[string]string) (before, after []byte) {
+// filesBeforeAfter writes the entries of first and then of second into a new folder, and returns the content of the file
+// before and after the second write.
+func filesBeforeAfter(t *testing.T, first, second map[string]string) (before, after []byte) {
 	t.Helper()
 	dir := t.TempDir()
 	for i, entries := range []map[string]string{first, second} {
-		s, _ := opened(t, dir)
+		s, _ := mustOpen(t, dir)
 		if i == 1 {
 			before = read(t, dir)
 		}
@@ -52,10 +53,10 @@
 	return b
 }
 
-// load opens a file with this text and returns what the store makes of it.
-func load(t *testing.T, dir string, text []byte) (Found, error) {
+// load opens a store on a file with this content and returns what it found.
+func load(t *testing.T, dir string, content []byte) (Found, error) {
 	t.Helper()
-	if err := os.WriteFile(filepath.Join(dir, File), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, File), content, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, found, err := Open(dir)
@@ -81,11 +82,11 @@
 
 const page = 4096
 
-// Power is lost at any write of a commit, and any byte of it. bbolt writes the pages of data, syncs, writes one of the two
-// meta pages and syncs: what lies on disk is the former file with any of the data pages, whole or torn, or all of them and
-// a part of the meta page. Either the former entries are there or the new ones, whole.
-func TestPowerLossAtAnyByte(t *testing.T) {
-	before, after := written(t, old, newer)
+// Power is lost at any byte of any write of a commit. bbolt writes the data pages, syncs, writes one of the two meta pages and
+// syncs again. The file is then the former one with any of the new data pages, complete or torn, or with all of them and a part
+// of the meta page. Open must find either all former entries or all new ones.
+func TestPowerLossAtAnyByteKeepsOldOrNewEntries(t *testing.T) {
+	before, after := filesBeforeAfter(t, old, newer)
 	rng := rand.New(rand.NewPCG(1, 1))
 	var data, meta []int
 	for p := 0; p < len(after)/page; p++ {
@@ -117,24 +118,24 @@
 			t.Errorf("%s: neither the former entries nor the new ones", what)
 		}
 	}
-	grown := func() []byte { // the file is made longer before a page is written
+	grown := func() []byte { // the file is extended before a page is written
 		image := make([]byte, max(len(before), len(after)))
 		copy(image, before)
 		return image
 	}
-	for range 60 { // any of the data pages, one of them torn
+	for range 60 { // any subset of the data pages, one of them torn
 		image := grown()
 		for _, p := range data {
 			if rng.IntN(2) == 0 {
 				copy(image[p*page:(p+1)*page], after[p*page:])
 			}
 		}
-		p, cut := data[rng.IntN(len(data))], rng.IntN(page)
-		copy(image[p*page:p*page+cut], after[p*page:])
-		check(fmt.Sprintf("page %d torn at %d", p, cut), image)
+		p, written := data[rng.IntN(len(data))], rng.IntN(page)
+		copy(image[p*page:p*page+written], after[p*page:])
+		check(fmt.Sprintf("page %d torn at %d", p, written), image)
 	}
 	for _, m := range meta {
-		for cut := 0; cut <= 128; cut++ { // a meta page says all in its first bytes
+		for cut := 0; cut <= 128; cut++ { // a meta page holds its content in the first 128 bytes
 			image := grown()
 			for _, p := range data {
 				copy(image[p*page:(p+1)*page], after[p*page:])
@@ -151,13 +152,13 @@
 	}
 }
 
-// What is spoilt in the middle is refused and located, never believed: an entry is as it was written, or missing and
-// named. Without the entries' own checksums this fails, since bbolt has none on its pages.
-func TestSpoiltIsNeverBelieved(t *testing.T) {
-	_, after := written(t, old, newer)
+// Corrupt data is refused with its location: each entry is found as it was written, or is missing and reported. This fails
+// without the checksums of the entries, since bbolt has none on its data pages.
+func TestCorruptEntriesAreRefused(t *testing.T) {
+	_, after := filesBeforeAfter(t, old, newer)
 	rng := rand.New(rand.NewPCG(2, 1))
 	dir := t.TempDir()
-	refused, aside := 0, 0
+	refused, renamed := 0, 0
 	for i := range 300 {
 		image := bytes.Clone(after)
 		what := ""
@@ -172,7 +173,7 @@
 			what = fmt.Sprint("700 bytes from ", at)
 		case 2:
 			image = image[:at]
-			what = fmt.Sprint("cut at ", at)
+			what = fmt.Sprint("truncated at ", at)
 		}
 		found, err := load(t, dir, image)
 		if err != nil {
@@ -180,21 +181,21 @@
 		}
 		for k, v := range values(found) {
 			if v != newer[k] && v != old[k] {
-				t.Errorf("%s: %s is believed: %q", what, k, v[:min(len(v), 40)])
+				t.Errorf("%s: corrupt entry %s was accepted: %q", what, k, v[:min(len(v), 40)])
 			}
 		}
 		if len(found.Refused) > 0 {
 			refused++
 		}
-		if found.Aside != "" {
-			aside++
-			if _, err := os.Stat(found.Aside); err != nil {
+		if found.MovedTo != "" {
+			renamed++
+			if _, err := os.Stat(found.MovedTo); err != nil {
 				t.Errorf("%s: %v", what, err)
 			}
 		}
 	}
-	t.Logf("of 300 spoilt files %d were refused in part or as a whole, %d moved aside", refused, aside)
-	if refused == 0 || aside == 0 {
-		t.Error("nothing was refused")
+	t.Logf("of 300 corrupt files %d were refused in part or completely, %d of these renamed", refused, renamed)
+	if refused == 0 || renamed == 0 {
+		t.Error("no corrupt file was refused, or none was renamed")
 	}
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -67,10 +67,10 @@
 // begin starts the gateway, or starts it anew with nothing in memory.
 func (h *hollow) begin() {
 	h.loop, h.over = core.NewLoop(lifeClock), make(chan struct{})
-	s := &fleet.Settings{Enabled: true, Fleet: "lab", Bind: net.JoinHostPort(h.host, h.run.port), Seeds: h.run.seeds, Dir: os.DevNull, Loads: 16,
+	s := &fleet.Settings{Enabled: true, Fleet: "lab", Bind: net.JoinHostPort(h.host, h.run.port), Seeds: h.run.seeds, Dir: os.DevNull, FirstLoads: 16,
 		BootID: os.DevNull, Change: change.Defaults}
 	h.node = fleet.New(h.loop, s, h.name, h.at.region, zap.NewNop())
-	h.node.Between(&view{h.run.network, h.host})
+	h.node.UseNetwork(&view{h.run.network, h.host})
 	set := Site()
 	h.node.Add(func(host *fleet.Host) fleet.Part {
 		p := fleet.NewRecovery(host, idle{}, s, recover.Limits{Classes: len(set.Classes), Tenants: len(set.Tenants)}, []float64{1, 3}, nil)
@@ -123,7 +123,7 @@
 	if h.ticks++; h.ticks%figureTicks != 0 {
 		return
 	}
-	h.node.Figures(func(name string, value int) {
+	h.node.Metrics(func(name string, value int) {
 		switch name {
 		case "untold":
 			h.lost.Store(int64(value))
@@ -138,7 +138,7 @@
 // MemberChanged counts suspicions of gateways that are there.
 func (h *hollow) MemberChanged(e member.Event, what member.Transition) {
 	h.changed = true
-	if what == member.Changed && e.State >= member.Suspected && e.State != member.Left && h.run.isThere(e.Card.Name) {
+	if what == member.Changed && e.State >= member.Suspected && e.State != member.Left && h.run.isThere(e.Metadata.Name) {
 		h.run.wrong.Add(1)
 	}
 }
@@ -151,15 +151,15 @@
 // idle is the side of a hollow gateway that has neither clients nor a list.
 type idle struct{}
 
-func (idle) Begin(fleet.Begin) error    { return nil }
-func (idle) Serve()                     {}
-func (idle) Remember() *decide.Snapshot { return &decide.Snapshot{} }
-func (idle) Saved() (s roster.Saved)    { return s }
-func (idle) Event() uint64              { return 1 }
-func (idle) Ban(roster.Ban)             {}
-func (idle) CallBack(string)            {}
-func (idle) AssumeRate(float64, int)    {}
-func (idle) Hold(map[string]bool)       {}
+func (idle) Begin(fleet.InitialState) error { return nil }
+func (idle) Serve()                         {}
+func (idle) Remember() *decide.Snapshot     { return &decide.Snapshot{} }
+func (idle) Saved() (s roster.Saved)        { return s }
+func (idle) LastEvent() uint64              { return 1 }
+func (idle) Ban(roster.Ban)                 {}
+func (idle) Unban(string)                   {}
+func (idle) AssumeRate(float64, int)        {}
+func (idle) Hold(map[string]bool)           {}
 
 // idleAgent does nothing that was agreed.
 type idleAgent struct{}
--- a/internal/lifecycle/agreement.go
+++ b/internal/lifecycle/agreement.go
@@ -35,8 +35,8 @@
 		return
 	}
 	options := agreement.Options{Name: conf.Name, Hall: nameAt(conf.Site.Zones, conf.Site.Decide.Zone), Halls: conf.Site.Zones,
-		Classes: conf.Site.Classes, Tenants: conf.Site.Tenants, Votes: settings.Agree.Votes,
-		Replace: time.Duration(settings.Agree.Replace * float64(time.Second)), Lost: time.Duration(settings.Site.Lost * float64(time.Second)),
+		Classes: conf.Site.Classes, Tenants: conf.Site.Tenants, Votes: settings.Agree.VoterCount,
+		Replace: time.Duration(settings.Agree.ReplaceAfterS * float64(time.Second)), Lost: time.Duration(settings.Site.LostAfterS * float64(time.Second)),
 		Limits:  settings.Change,
 		Rules:   replog.Rules{ClockBoundMs: settings.Freeze.ClockBoundMs, FreezeAheadMs: int64(settings.Freeze.AheadS * 1000)},
 		ColdFor: conf.Site.Decide.ColdFor, Session: settings.Site.Session, Version: Version, Config: conf.Revision,
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -82,7 +82,7 @@
 		inner := updateAll
 		updateAll = func(whole bool, members []core.Member) {
 			inner(whole, members)
-			g.recovery.Told(whole, members)
+			g.recovery.ListChanged(whole, members)
 			if g.agreement != nil {
 				g.agreement.Told(whole, members)
 			}
@@ -91,7 +91,7 @@
 	g.feed = bulletin.NewFeed(loop, net, conf.Bulletin, conf.Site, conf.LastEvent, updateAll, log.Named("bulletin"))
 	g.feed.OnListCurrent = g.core.ListCurrent
 	if g.node != nil {
-		g.feed.OnReceived = g.recovery.Current
+		g.feed.OnReceived = g.recovery.ListCurrent
 	}
 	g.initialEvents, g.updateList = conf.KnownEvents, updateAll
 	return nil
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -48,7 +48,7 @@
 }
 
 // Begin builds the gateway from the recovered state. If the gateway serves already it only adopts the bans.
-func (f *fleetGateway) Begin(b fleet.Begin) error {
+func (f *fleetGateway) Begin(b fleet.InitialState) error {
 	gateway := (*Gateway)(f)
 	if gateway.core != nil {
 		for _, ban := range b.Roster.Bans {
@@ -58,20 +58,20 @@
 	}
 	conf := *gateway.conf
 	if b.List != nil {
-		conf.KnownEvents, conf.LastEvent = []bulletin.Event{{No: b.Event, Complete: true, Members: b.List}}, b.Event
+		conf.KnownEvents, conf.LastEvent = []bulletin.Event{{No: b.ListEvent, Complete: true, Members: b.List}}, b.ListEvent
 	}
 	if err := gateway.build(&conf, handover.State{Roster: b.Roster, Module: b.Module}); err != nil {
 		return err
 	}
-	if memory := gateway.core.Remember(); len(b.Stands) > 0 {
+	if memory := gateway.core.Remember(); len(b.Copies) > 0 {
 		since := map[string]time.Duration{}
 		for _, e := range conf.KnownEvents {
 			for _, w := range e.Members {
 				since[w.Name] = w.Since
 			}
 		}
-		for _, s := range b.Stands {
-			memory.AddCopy(s.Function, s.Worker, since[s.Worker], s.At)
+		for _, s := range b.Copies {
+			memory.AddCopy(s.Function, s.Worker, since[s.Worker], s.ProvenAt)
 		}
 		if err := gateway.core.Recall(memory); err != nil {
 			gateway.log.Warn("loaded copies reported by other gateways could not be used", zap.Error(err))
@@ -91,8 +91,8 @@
 func (f *fleetGateway) Remember() *decide.Snapshot { return f.core.Remember() }
 func (f *fleetGateway) Saved() roster.Saved        { return f.core.Saved() }
 
-// Event returns the number of the last bulletin event that was applied.
-func (f *fleetGateway) Event() uint64 {
+// LastEvent returns the number of the last bulletin event that was applied.
+func (f *fleetGateway) LastEvent() uint64 {
 	if f.feed == nil {
 		return f.conf.LastEvent
 	}
@@ -102,8 +102,8 @@
 // Ban applies a ban that an operator has laid at another gateway.
 func (f *fleetGateway) Ban(b roster.Ban) { f.core.Adopt(b); f.saveState() }
 
-// CallBack lifts a ban that an operator has lifted at another gateway.
-func (f *fleetGateway) CallBack(id string) {
+// Unban lifts a ban that an operator has lifted at another gateway.
+func (f *fleetGateway) Unban(id string) {
 	if f.core.Enable(id) == nil {
 		f.saveState()
 	}
@@ -160,7 +160,7 @@
 	if g.node == nil {
 		return errNotReady
 	}
-	phase, without := g.recovery.Course()
+	phase, without := g.recovery.Progress()
 	if len(without) > 0 {
 		phase += ", without " + strings.Join(without, ", ")
 	}
@@ -169,7 +169,7 @@
 
 // writeFleetMetrics reports the metrics of the fleet node and of the agreement.
 func (g *Gateway) writeFleetMetrics(gauge func(string, int)) {
-	g.node.Figures(func(name string, value int) { gauge("fleet."+name, value) })
+	g.node.Metrics(func(name string, value int) { gauge("fleet."+name, value) })
 	if g.requiresPermits() {
 		g.writeAgreementMetrics(gauge)
 	}
