--- a/internal/fleet/admit.go
+++ b/internal/fleet/admit.go
@@ -19,16 +19,16 @@
 	if c.saved != nil {
 		gateways = max(gateways, c.saved.Alive)
 	}
-	c.admission = recover.NewAdmission(recover.Share{Worth: c.classWorth, Former: c.formerRate, Loads: c.settings.FirstLoads,
+	c.admission = recover.NewAdmission(recover.AdmissionConfig{ClassWorth: c.classWorth, FormerRate: c.formerRate, FirstLoads: c.settings.FirstLoads,
 		Gateways: gateways}, c.averageCapacity(), c.host.Now())
-	for fn := range c.peerState.Stands {
-		c.admission.Stands(fn)
+	for fn := range c.peerState.LoadedCopies {
+		c.admission.MarkLoaded(fn)
 	}
 	if c.saved != nil && c.saved.Module != nil {
 		unrestarted := c.unrestartedWorkers()
 		for _, f := range c.saved.Module.Functions {
 			if slices.ContainsFunc(f.Placements, func(p decide.PlacementSnapshot) bool { return unrestarted[p.Worker] }) {
-				c.admission.Stands(f.Name)
+				c.admission.MarkLoaded(f.Name)
 			}
 		}
 	}
@@ -41,7 +41,7 @@
 	if c.admission == nil {
 		return
 	}
-	c.host.Log().Info("clients are admitted", zap.Float64("calls_per_s", c.admission.Rate()), zap.Int("first_loads", c.admission.Slots()),
+	c.host.Log().Info("clients are admitted", zap.Float64("calls_per_s", c.admission.Rate()), zap.Int("first_loads", c.admission.MaxFirstLoads()),
 		zap.Int("gateways", gateways))
 }
 
@@ -87,7 +87,7 @@
 		return
 	}
 	served := r.Answer == "served"
-	c.admission.Ended(r.Call.Function, served)
+	c.admission.RecordOutcome(r.Call.Function, served)
 	if served && len(c.foundFunctions) < 4*maxFoundFunctions && !slices.Contains(c.foundFunctions, r.Call.Function) {
 		c.foundFunctions = append(c.foundFunctions, r.Call.Function)
 	}
--- a/internal/fleet/agreement/declare.go
+++ b/internal/fleet/agreement/declare.go
@@ -49,7 +49,7 @@
 		if err := p.Check(a.clock().At); err != nil {
 			return "", nil, err
 		}
-		p.Fix(a.clock().At)
+		p.FixSpans(a.clock().At)
 		return "freeze", p, nil
 	},
 	"exception": func(a *Agent, w *arguments) (string, any, error) {
@@ -72,7 +72,7 @@
 	"restriction": func(a *Agent, w *arguments) (string, any, error) {
 		r := site.Restriction{Name: w.text("name"), Tenants: w.list("tenants"), Classes: w.list("classes"), Functions: w.list("functions"), Sites: w.list("sites"),
 			Pin: w.one("pin", "yes", "no") == "yes"}
-		if err := r.Check(site.Known{Tenants: a.o.Tenants, Classes: a.o.Classes, Halls: a.o.Halls}); err != nil {
+		if err := r.Check(site.KnownNames{Tenants: a.o.Tenants, Classes: a.o.Classes, Halls: a.o.Halls}); err != nil {
 			return "", nil, err
 		}
 		return "restrict", replog.RestrictBody{Restriction: r}, nil
--- a/internal/fleet/agreement/eligibility.go
+++ b/internal/fleet/agreement/eligibility.go
@@ -122,7 +122,7 @@
 
 // fresh is what is agreed before anything is: what the files of the voters say.
 func (a *Agent) fresh() *replog.State {
-	return replog.NewState(site.Known{Tenants: a.o.Tenants, Classes: a.o.Classes, Halls: a.o.Halls}, a.o.Rules, a.o.Limits)
+	return replog.NewState(site.KnownNames{Tenants: a.o.Tenants, Classes: a.o.Classes, Halls: a.o.Halls}, a.o.Rules, a.o.Limits)
 }
 
 // begin puts the beginning of a log on disk and takes part in it.
--- a/internal/fleet/agreement/frozen.go
+++ b/internal/fleet/agreement/frozen.go
@@ -76,7 +76,7 @@
 		if p.Rule != "" && left < 8 && now-a.spanned > time.Hour {
 			a.spanned = now
 			q := *p
-			q.Fix(time.UnixMilli(now.Milliseconds()))
+			q.FixSpans(time.UnixMilli(now.Milliseconds()))
 			a.put("spans", replog.SpansBody{Name: p.Name, Spans: q.Spans})
 		}
 	}
--- a/internal/fleet/agreement/lead.go
+++ b/internal/fleet/agreement/lead.go
@@ -137,7 +137,7 @@
 		v.Frozen = p.Name
 	}
 	for _, p := range st.Freeze.Periods {
-		if next, ok := p.Next(c.At); ok && p.Covers("releases", nil) {
+		if next, ok := p.NextStart(c.At); ok && p.Covers("releases", nil) {
 			if in := next.Sub(c.At).Milliseconds() - st.Rules.ClockBoundMs; v.FreezeIn == 0 || in < v.FreezeIn {
 				v.FreezeIn = max(1, in)
 			}
--- a/internal/fleet/agreement/show.go
+++ b/internal/fleet/agreement/show.go
@@ -75,16 +75,16 @@
 		switch {
 		case r.Lifted:
 			to = ", taken back once all have heard"
-		case r.Wider != nil:
-			to = fmt.Sprintf(", then %s once all have heard", strings.Join(r.Wider, " "))
+		case r.PendingSites != nil:
+			to = fmt.Sprintf(", then %s once all have heard", strings.Join(r.PendingSites, " "))
 		}
 		say("restriction %s of %s: tenants %v classes %v functions %d at %s%s", r.Name, r.By, r.Tenants, r.Classes, len(r.Functions), strings.Join(r.Sites, " "), to)
 		if r.Pin {
-			say("  its sessions are at %s", strings.Join(r.Pins, " "))
+			say("  its sessions are at %s", strings.Join(r.PinSites, " "))
 		}
 	}
 	if st.Site.Epoch > 0 {
-		say("epoch %d, down: %s, closed by hand: %s", st.Site.Epoch, orNone(st.Site.Down), orNone(st.Site.Hand))
+		say("epoch %d, down: %s, closed by hand: %s", st.Site.Epoch, orNone(st.Site.Down), orNone(st.Site.ClosedByOperator))
 	}
 	return b.String()
 }
@@ -176,7 +176,7 @@
 		when := "not again"
 		if until, in := p.InForce(c.At, c.Bound); in {
 			when = "in force until " + until.UTC().Format(time.RFC3339)
-		} else if next, ok := p.Next(c.At); ok {
+		} else if next, ok := p.NextStart(c.At); ok {
 			when = "next from " + next.UTC().Format(time.RFC3339)
 		}
 		say("freeze %s of %s: %s in %s, %s to %s %s %s: %s", p.Name, p.Owner, kinds, halls, p.Start, p.End, p.Zone, p.Rule, when)
--- a/internal/fleet/agreement/sites.go
+++ b/internal/fleet/agreement/sites.go
@@ -148,7 +148,7 @@
 			a.put("back", replog.NameBody{Name: h})
 		}
 	}
-	for _, r := range st.Site.Loosening() {
+	for _, r := range st.Site.PendingLoosening() {
 		if a.allHave(st, r.ID, now) {
 			a.put("widen", replog.NameBody{Name: r.Name})
 		}
--- a/internal/fleet/freeze/period.go
+++ b/internal/fleet/freeze/period.go
@@ -1,6 +1,6 @@
-// Package freeze decides when changes of a fleet are not taken: declared periods, in a named time zone and possibly by a
-// rule of repetition, the exceptions from them, and the margins by which clocks may be off. It is pure: times come in, and
-// what is said of them goes out.
+// Package freeze decides when changes of a fleet are not accepted. It implements declared freeze periods, which are given in a
+// named time zone and may recur, the exceptions from them, and the margins for clocks that are off. It is pure: callers pass
+// in all times.
 package freeze
 
 import (
@@ -8,7 +8,7 @@
 	"fmt"
 	"slices"
 	"time"
-	_ "time/tzdata" // where a machine has no zone data
+	_ "time/tzdata" // for machines without zone data
 
 	"github.com/teambition/rrule-go"
 )
@@ -18,65 +18,65 @@
 
 // The kinds of change.
 const (
-	Config       Kind = "config"       // the file of a gateway, at SIGHUP
-	Limits       Kind = "limits"       // of what may be out
-	Bans         Kind = "bans"         // workers taken out by hand, but for emergencies
-	Releases     Kind = "releases"     // versions, configurations, workers
-	Restrictions Kind = "restrictions" // those that loosen
+	Config       Kind = "config"       // reload of a gateway's configuration file at SIGHUP
+	Limits       Kind = "limits"       // limits on how much may be unavailable at once
+	Bans         Kind = "bans"         // bans of workers by operators, except in an emergency
+	Releases     Kind = "releases"     // releases of versions, configurations and workers
+	Restrictions Kind = "restrictions" // loosening of site restrictions
 )
 
-// Kinds are all of them.
+// Kinds lists all kinds of change.
 var Kinds = []Kind{Config, Limits, Bans, Releases, Restrictions}
 
 const (
-	// Layout is how a period's times are written: times of day in its zone. Seconds may follow.
-	Layout  = "2006-01-02T15:04"
-	seconds = ":05"
-
-	maxName    = 64
-	maxSpan    = 366 * 24 * time.Hour
-	maxPeriods = 256
-	maxSpans   = 64                   // that are fixed ahead
-	ahead      = 400 * 24 * time.Hour // and for how long
-	slack      = 26 * time.Hour       // no zone is off by more
+	// Layout is the format of a period's times, which are local times in its zone. Seconds may follow.
+	Layout        = "2006-01-02T15:04"
+	secondsLayout = ":05"
+
+	maxNameBytes        = 64
+	maxPeriodLength     = 366 * 24 * time.Hour
+	maxPeriods          = 256
+	maxFixedSpans       = 64                   // occurrences stored in Period.Spans by FixSpans
+	horizon             = 400 * 24 * time.Hour // how far ahead occurrences are computed
+	maxOffsetDifference = 26 * time.Hour       // no two UTC offsets differ by more
 )
 
-// Period is a time in which stated kinds of change are not taken.
+// Period is a freeze period, in which stated kinds of change are not accepted.
 type Period struct {
-	ID          uint64 // of the entry that declared it
+	ID          uint64 // index of the log entry that declared it
 	Name, Owner string
-	Kinds       []Kind   // none: all
-	Halls       []string // none: all
-	Zone        string   // as the IANA's database names it
-	Start, End  string   // local times, of the first occurrence
-	Rule        string   // RFC 5545's RRULE, without DTSTART; "" for once
-	Drop        bool     // a configuration that came within is dropped afterwards, and not taken
-	Spans       []Span   // as its declarer's zone data have them; others' may differ, and both count
-	Cut         Span     // the occurrence that was in force at From ends at To
+	Kinds       []Kind   // empty: all
+	Halls       []string // empty: all
+	Zone        string   // name in the IANA time zone database
+	Start, End  string   // local times of the first occurrence
+	Rule        string   // recurrence rule, an RRULE of RFC 5545 without DTSTART; "" if the period does not recur
+	Drop        bool     // a configuration received within the period is dropped at its end instead of applied
+	Spans       []Span   // occurrences by the declaring gateway's zone data; they count besides those by this process's data
+	Shortened   Span     `json:"Cut" msgpack:"Cut"` // the occurrence that was in force at From ends early, at To
 }
 
-// Span is one occurrence, in Unix ms: from From on and before To.
+// Span is one occurrence in Unix milliseconds, from From, inclusive, to To, exclusive.
 type Span struct{ From, To int64 }
 
-// floating reads a local time without its zone.
-func floating(text string) (time.Time, error) {
+// parseLocal parses a local time, without regard to its zone.
+func parseLocal(text string) (time.Time, error) {
 	layout := Layout
 	if len(text) > len(Layout) {
-		layout += seconds
+		layout += secondsLayout
 	}
 	return time.ParseInLocation(layout, text, time.UTC)
 }
 
-// Check reports what is wrong with a period, at the time of its declaration.
+// Check returns an error if a period that is to be declared is invalid.
 func (p *Period) Check(now time.Time) error {
-	start, errS := floating(p.Start)
-	end, errE := floating(p.End)
+	start, startErr := parseLocal(p.Start)
+	end, endErr := parseLocal(p.End)
 	switch {
-	case p.Name == "" || len(p.Name) > maxName || p.Owner == "" || len(p.Owner) > maxName:
-		return fmt.Errorf("a period needs a name and an owner of at most %d bytes", maxName)
-	case errS != nil || errE != nil:
+	case p.Name == "" || len(p.Name) > maxNameBytes || p.Owner == "" || len(p.Owner) > maxNameBytes:
+		return fmt.Errorf("a period needs a name and an owner of at most %d bytes", maxNameBytes)
+	case startErr != nil || endErr != nil:
 		return fmt.Errorf("times are written as %s: %q to %q", Layout, p.Start, p.End)
-	case !end.After(start) || end.Sub(start) > maxSpan:
+	case !end.After(start) || end.Sub(start) > maxPeriodLength:
 		return fmt.Errorf("from %s to %s is no period of at most a year", p.Start, p.End)
 	}
 	for _, k := range p.Kinds {
@@ -84,20 +84,20 @@
 			return fmt.Errorf("%q is no kind of change: %v", k, Kinds)
 		}
 	}
-	if _, err := p.zone(); err != nil {
+	if _, err := p.location(); err != nil {
 		return err
 	}
 	if p.Rule == "" {
 		return nil
 	}
-	o, err := p.option(start, start.Add(ahead))
+	options, err := p.ruleOptions(start, start.Add(horizon))
 	if err != nil {
 		return err
 	}
-	if o.Freq > rrule.DAILY {
+	if options.Freq > rrule.DAILY {
 		return fmt.Errorf("a period is repeated once a day at most: %s", p.Rule)
 	}
-	r, err := rrule.NewRRule(*o)
+	r, err := rrule.NewRRule(*options)
 	if err != nil {
 		return fmt.Errorf("rule %q: %w", p.Rule, err)
 	}
@@ -107,7 +107,8 @@
 	return nil
 }
 
-func (p *Period) zone() (*time.Location, error) {
+// location returns the time zone of the period.
+func (p *Period) location() (*time.Location, error) {
 	if p.Zone == "" || p.Zone == "Local" {
 		return nil, fmt.Errorf("a period needs a zone, such as Europe/Helsinki or UTC")
 	}
@@ -118,46 +119,47 @@
 	return loc, nil
 }
 
-// option is the rule, with its end no later than until: a rule that never comes true must not be looked for for ever.
-func (p *Period) option(start, until time.Time) (*rrule.ROption, error) {
-	o, err := rrule.StrToROptionInLocation(p.Rule, time.UTC)
+// ruleOptions returns the parsed recurrence rule. It ends no later than until, since the search for an occurrence of a rule that
+// never matches would not end.
+func (p *Period) ruleOptions(start, until time.Time) (*rrule.ROption, error) {
+	options, err := rrule.StrToROptionInLocation(p.Rule, time.UTC)
 	if err != nil {
 		return nil, fmt.Errorf("rule %q: %w", p.Rule, err)
 	}
-	if !o.Dtstart.IsZero() {
+	if !options.Dtstart.IsZero() {
 		return nil, fmt.Errorf("rule %q: the period's start is its DTSTART", p.Rule)
 	}
-	o.Dtstart = start
-	if o.Until.IsZero() || o.Until.After(until) {
-		o.Until = until
+	options.Dtstart = start
+	if options.Until.IsZero() || options.Until.After(until) {
+		options.Until = until
 	}
-	return o, nil
+	return options, nil
 }
 
-// spans are the occurrences that touch the time from from to to, as this process's zone data have them.
-func (p *Period) spans(from, to time.Time) []Span {
-	start, errS := floating(p.Start)
-	end, errE := floating(p.End)
-	loc, errZ := p.zone()
-	if cmp.Or(errS, errE, errZ) != nil { // it was checked when it was declared, by another version's zone data
+// computeSpans returns the occurrences that overlap the time between from and to, by this process's zone data.
+func (p *Period) computeSpans(from, to time.Time) []Span {
+	start, startErr := parseLocal(p.Start)
+	end, endErr := parseLocal(p.End)
+	loc, locationErr := p.location()
+	if cmp.Or(startErr, endErr, locationErr) != nil { // valid when it was declared, but not by the zone data of this version
 		return nil
 	}
 	begins := []time.Time{start}
 	if p.Rule != "" {
-		o, err := p.option(start, to.Add(slack).UTC())
+		options, err := p.ruleOptions(start, to.Add(maxOffsetDifference).UTC())
 		if err != nil {
 			return nil
 		}
-		r, err := rrule.NewRRule(*o)
+		r, err := rrule.NewRRule(*options)
 		if err != nil {
 			return nil
 		}
-		begins = r.Between(from.UTC().Add(-end.Sub(start)-slack), to.UTC().Add(slack), true)
+		begins = r.Between(from.UTC().Add(-end.Sub(start)-maxOffsetDifference), to.UTC().Add(maxOffsetDifference), true)
 	}
 	var out []Span
 	for _, b := range begins {
-		first, _ := instants(b, loc)
-		_, last := instants(b.Add(end.Sub(start)), loc)
+		first, _ := localInstants(b, loc)
+		_, last := localInstants(b.Add(end.Sub(start)), loc)
 		if last.After(from) && first.Before(to) && first.Before(last) {
 			out = append(out, Span{first.UnixMilli(), last.UnixMilli()})
 		}
@@ -165,51 +167,52 @@
 	return out
 }
 
-// instants are the first and the last moment that a clock in a zone shows a local time. Where it is skipped they are the
-// moments that it would be by the offsets before and after.
-func instants(local time.Time, loc *time.Location) (first, last time.Time) {
-	var shown, would []time.Time
-	for _, d := range []time.Duration{-slack, 0, slack} {
-		_, offset := local.Add(d).In(loc).Zone()
+// localInstants returns the first and the last instant at which a clock in a zone shows a local time. If the clock skips that
+// time, they are the instants that result from the UTC offsets before and after the skip.
+func localInstants(local time.Time, loc *time.Location) (first, last time.Time) {
+	var matching, candidates []time.Time
+	for _, shift := range []time.Duration{-maxOffsetDifference, 0, maxOffsetDifference} {
+		_, offset := local.Add(shift).In(loc).Zone()
 		t := local.Add(-time.Duration(offset) * time.Second)
-		would = append(would, t)
-		if _, o := t.In(loc).Zone(); o == offset {
-			shown = append(shown, t)
+		candidates = append(candidates, t)
+		if _, actual := t.In(loc).Zone(); actual == offset {
+			matching = append(matching, t)
 		}
 	}
-	if len(shown) == 0 {
-		shown = would
+	if len(matching) == 0 {
+		matching = candidates
 	}
-	return slices.MinFunc(shown, time.Time.Compare), slices.MaxFunc(shown, time.Time.Compare)
+	return slices.MinFunc(matching, time.Time.Compare), slices.MaxFunc(matching, time.Time.Compare)
 }
 
-// Fix puts down the occurrences to come, by this process's zone data.
-func (p *Period) Fix(now time.Time) {
-	p.Spans = p.spans(now, now.Add(ahead))
-	if len(p.Spans) > maxSpans {
-		p.Spans = p.Spans[:maxSpans]
+// FixSpans stores the coming occurrences, by this process's zone data.
+func (p *Period) FixSpans(now time.Time) {
+	p.Spans = p.computeSpans(now, now.Add(horizon))
+	if len(p.Spans) > maxFixedSpans {
+		p.Spans = p.Spans[:maxFixedSpans]
 	}
 }
 
-// Covers reports whether the period forbids a kind of change that touches halls; none for all of them.
-func (p *Period) Covers(k Kind, halls []string) bool {
-	if len(p.Kinds) > 0 && !slices.Contains(p.Kinds, k) {
+// Covers reports whether the period forbids changes of a kind in any of halls. Empty halls stand for all of them.
+func (p *Period) Covers(kind Kind, halls []string) bool {
+	if len(p.Kinds) > 0 && !slices.Contains(p.Kinds, kind) {
 		return false
 	}
-	return len(p.Halls) == 0 || len(halls) == 0 || slices.ContainsFunc(halls, func(h string) bool { return slices.Contains(p.Halls, h) })
+	return len(p.Halls) == 0 || len(halls) == 0 || slices.ContainsFunc(halls, func(hall string) bool { return slices.Contains(p.Halls, hall) })
 }
 
-// InForce reports whether the period is in force at a time that a clock shows which may be off by bound, and until when.
+// InForce reports whether the period may be in force when a clock shows the time at, given that the clock may be off by bound.
+// until is when that is no longer possible by the same clock.
 func (p *Period) InForce(at time.Time, bound time.Duration) (until time.Time, in bool) {
-	b := bound.Milliseconds()
-	ms := at.UnixMilli()
-	for _, s := range append(p.spans(at.Add(-bound), at.Add(bound+time.Millisecond)), p.Spans...) {
-		if s.From <= p.Cut.From && p.Cut.From < s.To {
-			s.To = min(s.To, p.Cut.To)
+	margin := bound.Milliseconds()
+	shown := at.UnixMilli()
+	for _, s := range append(p.computeSpans(at.Add(-bound), at.Add(bound+time.Millisecond)), p.Spans...) {
+		if s.From <= p.Shortened.From && p.Shortened.From < s.To {
+			s.To = min(s.To, p.Shortened.To)
 		}
-		if ms >= s.From-b && ms < s.To+b {
+		if shown >= s.From-margin && shown < s.To+margin {
 			in = true
-			if t := time.UnixMilli(s.To + b); t.After(until) {
+			if t := time.UnixMilli(s.To + margin); t.After(until) {
 				until = t
 			}
 		}
@@ -217,10 +220,10 @@
 	return until, in
 }
 
-// Next is the begin of the next occurrence after a time, false if none is known of.
-func (p *Period) Next(at time.Time) (time.Time, bool) {
+// NextStart returns the start of the next occurrence after a time, and false if none is known.
+func (p *Period) NextStart(at time.Time) (time.Time, bool) {
 	var next int64
-	for _, s := range append(p.spans(at, at.Add(ahead)), p.Spans...) {
+	for _, s := range append(p.computeSpans(at, at.Add(horizon)), p.Spans...) {
 		if s.From > at.UnixMilli() && (next == 0 || s.From < next) {
 			next = s.From
 		}
--- a/internal/fleet/freeze/state.go
+++ b/internal/fleet/freeze/state.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Exception is leave for one change within a period.
+// Exception permits one change within a freeze period.
 type Exception struct {
 	ID     uint64
 	Period string
-	What   string // the change: a kind, or lift
+	What   string // the change it permits: a Kind, or Lift
 	Why    string
-	By     [2]string // two different operators; the second is empty until the other has agreed
-	Until  int64     // Unix ms
-	Used   bool
+	By     [2]string // the operator who requested it, and another who approved it; the second is empty until then
+	Until  int64     // end of its validity, in Unix milliseconds
+	Used   bool      // its change has been made
 }
 
-// Lift is what an exception names that is for ending or shortening the period itself.
+// Lift is the What of an exception that permits to end or shorten the period itself.
 const Lift = "lift"
 
 const maxExceptions = 256
 
-// State is what is declared. It is changed by the log's entries alone.
+// State holds the declared periods and exceptions. Only entries of the replicated log change it.
 type State struct {
 	Periods    []*Period
 	Exceptions []*Exception
 }
 
-// Clock is a time of the log with the bound on how far clocks may be off.
+// Clock is a time of the replicated log, with the bound on how far clocks may be off.
 type Clock struct {
 	At    time.Time
 	Bound time.Duration
 }
 
-// Declare adds a period; it has to begin no sooner than after ahead, so that all can know of it. One that is under way by
-// its rule is declared from its next begin on.
-func (s *State) Declare(p *Period, c Clock, ahead time.Duration) error {
+// Declare adds a period. Its next start must be at least leadTime ahead, so that all gateways receive it before. A recurring
+// period of which an occurrence is in force now has to be declared with a later first occurrence.
+func (s *State) Declare(p *Period, c Clock, leadTime time.Duration) error {
 	if err := p.Check(c.At); err != nil {
 		return err
 	}
@@ -47,23 +47,24 @@
 		return fmt.Errorf("a period %s is declared already", p.Name)
 	}
 	if until, in := p.InForce(c.At, c.Bound); in {
-		return fmt.Errorf("it would be in force now, until %v: declare it %v before it begins", until.UTC(), ahead)
+		return fmt.Errorf("it would be in force now, until %v: declare it %v before it begins", until.UTC(), leadTime)
 	}
-	next, ok := p.Next(c.At)
+	next, ok := p.NextStart(c.At)
 	if !ok {
 		return fmt.Errorf("it lies in the past")
 	}
-	if next.Sub(c.At) < ahead+c.Bound {
-		return fmt.Errorf("it begins in %v: declare it %v before", next.Sub(c.At).Round(time.Second), ahead+c.Bound)
+	if next.Sub(c.At) < leadTime+c.Bound {
+		return fmt.Errorf("it begins in %v: declare it %v before", next.Sub(c.At).Round(time.Second), leadTime+c.Bound)
 	}
 	s.Periods = append(s.Periods, p)
 	return nil
 }
 
-// Forbids returns the period that forbids a change, nil if none does. halls are those that it touches, none for all.
-func (s *State) Forbids(k Kind, halls []string, c Clock) *Period {
+// Forbids returns the first period in force that forbids a change of a kind, nil if none does. halls are those that the change
+// concerns; empty means all.
+func (s *State) Forbids(kind Kind, halls []string, c Clock) *Period {
 	for _, p := range s.Periods {
-		if p.Covers(k, halls) {
+		if p.Covers(kind, halls) {
 			if _, in := p.InForce(c.At, c.Bound); in {
 				return p
 			}
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// InForce are the periods that are.
+// InForce returns the periods that are in force.
 func (s *State) InForce(c Clock) (out []*Period) {
 	for _, p := range s.Periods {
 		if _, in := p.InForce(c.At, c.Bound); in {
@@ -82,26 +83,27 @@
 	return out
 }
 
-// Take reports whether a change may be made: no period forbids it, or each that does has an exception for it, which is
-// used up. except is the exception's ID, 0 for none.
-func (s *State) Take(k Kind, halls []string, except uint64, c Clock) error {
-	p := s.Forbids(k, halls, c)
-	if p == nil {
+// Authorize returns nil if a change may be made: if no period forbids it, or if only one does and the exception is for that period
+// and this change. It marks the exception as used. except is the ID of the exception, 0 for none.
+func (s *State) Authorize(kind Kind, halls []string, except uint64, c Clock) error {
+	period := s.Forbids(kind, halls, c)
+	if period == nil {
 		return nil
 	}
-	e := s.exception(except)
-	if err := e.check(p.Name, string(k), c); err != nil {
-		return fmt.Errorf("%s of %s forbids %s now: %w", p.Name, p.Owner, k, err)
+	exception := s.exception(except)
+	if err := exception.check(period.Name, string(kind), c); err != nil {
+		return fmt.Errorf("%s of %s forbids %s now: %w", period.Name, period.Owner, kind, err)
 	}
-	for _, o := range s.Periods { // one exception is from one period
-		if _, in := o.InForce(c.At, c.Bound); in && o != p && o.Covers(k, halls) {
-			return fmt.Errorf("%s of %s forbids %s as well", o.Name, o.Owner, k)
+	for _, other := range s.Periods { // an exception is from one period only
+		if _, in := other.InForce(c.At, c.Bound); in && other != period && other.Covers(kind, halls) {
+			return fmt.Errorf("%s of %s forbids %s as well", other.Name, other.Owner, kind)
 		}
 	}
-	e.Used = true
+	exception.Used = true
 	return nil
 }
 
+// exception returns the exception with an ID, nil if there is none.
 func (s *State) exception(id uint64) *Exception {
 	for _, e := range s.Exceptions {
 		if e.ID == id && id > 0 {
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// check reports why an exception is not for a change.
+// check returns an error if an exception, which may be nil, does not permit a change now.
 func (e *Exception) check(period, what string, c Clock) error {
 	switch {
 	case e == nil:
@@ -128,8 +130,8 @@
 	return nil
 }
 
-// Except asks for an exception, which another operator has to agree to.
-func (s *State) Except(e *Exception, c Clock) error {
+// RequestException adds an exception, which has no effect until another operator approves it.
+func (s *State) RequestException(e *Exception, c Clock) error {
 	switch {
 	case e.By[0] == "" || e.Why == "":
 		return fmt.Errorf("an exception needs an operator's name and a reason")
@@ -140,7 +142,7 @@
 	case e.Until <= c.At.UnixMilli():
 		return fmt.Errorf("an exception needs an end that is to come")
 	}
-	s.Exceptions = slices.DeleteFunc(s.Exceptions, func(o *Exception) bool { return o.Until < c.At.Add(-ahead).UnixMilli() })
+	s.Exceptions = slices.DeleteFunc(s.Exceptions, func(old *Exception) bool { return old.Until < c.At.Add(-horizon).UnixMilli() })
 	if len(s.Exceptions) >= maxExceptions {
 		return fmt.Errorf("%d exceptions are remembered already", maxExceptions)
 	}
@@ -149,8 +151,8 @@
 	return nil
 }
 
-// Second has another operator agree to an exception.
-func (s *State) Second(id uint64, by string) error {
+// ApproveException records that an operator approves an exception that another has requested.
+func (s *State) ApproveException(id uint64, by string) error {
 	e := s.exception(id)
 	switch {
 	case e == nil:
@@ -164,8 +166,9 @@
 	return nil
 }
 
-// End takes a period back that is not in force. One that is ends at a time, this occurrence of it, and by exception only.
-func (s *State) End(name string, at int64, except uint64, c Clock) error {
+// EndPeriod removes a period that is not in force. If it is in force, only the present occurrence is ended, at the time at in Unix
+// milliseconds but not before now, and an exception for it is needed.
+func (s *State) EndPeriod(name string, at int64, except uint64, c Clock) error {
 	i := slices.IndexFunc(s.Periods, func(p *Period) bool { return p.Name == name })
 	if i < 0 {
 		return fmt.Errorf("no period %s is declared", name)
@@ -177,26 +180,26 @@
 			return fmt.Errorf("%s is in force, and forbids its own end: %w", name, err)
 		}
 		e.Used = true
-		p.Cut = Span{c.At.UnixMilli(), max(at, c.At.UnixMilli())}
+		p.Shortened = Span{c.At.UnixMilli(), max(at, c.At.UnixMilli())}
 		return nil
 	}
 	s.Periods = slices.Delete(s.Periods, i, i+1)
 	return nil
 }
 
-// Renew puts down occurrences to come anew, as the leader's zone data have them; those that were put down before and are
-// not over stay, so that nobody's period gets shorter.
-func (s *State) Renew(name string, spans []Span, now time.Time) {
+// RenewSpans replaces a period's stored occurrences by spans, the coming ones by the leader's zone data. Stored occurrences that are
+// not over stay, so that the period gets shorter for no gateway.
+func (s *State) RenewSpans(name string, spans []Span, now time.Time) {
 	for _, p := range s.Periods {
 		if p.Name != name {
 			continue
 		}
-		for _, o := range p.Spans {
-			if o.To > now.UnixMilli() && !slices.Contains(spans, o) {
-				spans = append(spans, o)
+		for _, stored := range p.Spans {
+			if stored.To > now.UnixMilli() && !slices.Contains(spans, stored) {
+				spans = append(spans, stored)
 			}
 		}
 		slices.SortFunc(spans, func(a, b Span) int { return int(a.From - b.From) })
-		p.Spans = spans[:min(len(spans), 2*maxSpans)]
+		p.Spans = spans[:min(len(spans), 2*maxFixedSpans)]
 	}
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -133,7 +133,7 @@
 		}
 		n.loop.Post(func() { n.setTransport(t) })
 		// It waits for all seeds, up to the limit, since the one that is missing may be the only one that knows of a ban.
-		for end := time.Now().Add(recover.AskLimit); t.Join(recover.AskLimit) < len(t.Seeds()) && time.Now().Before(end); {
+		for end := time.Now().Add(recover.QueryLimit); t.Join(recover.QueryLimit) < len(t.Seeds()) && time.Now().Before(end); {
 			time.Sleep(joinRetryDelay) // not on the event loop
 		}
 		n.loop.Post(func() { n.finishJoin(t, nil) })
@@ -172,7 +172,7 @@
 	if !n.begun && now-n.stageStart >= recover.ReadLimit {
 		n.begin(nil, true)
 	}
-	if n.begun && !n.joined && now-n.stageStart >= recover.AskLimit {
+	if n.begun && !n.joined && now-n.stageStart >= recover.QueryLimit {
 		n.finishJoin(n.transport, nil)
 	}
 	if n.view != nil {
--- a/internal/fleet/recover/admit.go
+++ b/internal/fleet/recover/admit.go
@@ -8,146 +8,148 @@
 )
 
 const (
-	stepEvery   = 500 * time.Millisecond // pace of the steps in which admission rises
-	stepUp      = 1.5                    // and by how much, where what was admitted is served
-	stepDown    = 0.8                    // or is not
-	wellPart    = 0.9                    // of what ended in a step was served: up
-	illPart     = 0.6                    // less than this: down
-	beginPart   = 0.5                    // of the former rate is admitted at first,
-	donePart    = 2.0                    // or so many times it where all workers are warm: nothing is held back then
-	burst       = 300 * time.Millisecond // of the rate that may come at once
-	reservePart = 0.5                    // of the burst is kept for the classes worth most
-	loadLimit   = 3 * time.Second        // a load that has shown nothing by then holds its place no longer
-	leastSteps  = 2                      // in which nothing was refused, and all is admitted
+	stepInterval      = 500 * time.Millisecond // the admitted rate is adjusted once per step
+	increaseFactor    = 1.5                    // applied to the rate after a step in which most ended requests were served
+	decreaseFactor    = 0.8                    // applied to the rate after a step in which too few were served
+	increaseThreshold = 0.9                    // served share of ended requests from which the rate is increased
+	decreaseThreshold = 0.6                    // served share of ended requests below which the rate is decreased
+	initialShare      = 0.5                    // of the former rate is admitted at first, even if all workers are cold
+	maxRateFactor     = 2.0                    // bound of the rate, relative to the former rate; the rate starts there if all workers are warm
+	burstWindow       = 300 * time.Millisecond // a burst may hold as many requests as the rate allows in this time
+	reserveShare      = 0.5                    // share of the burst that the class of lowest worth leaves to the others
+	firstLoadTimeout  = 3 * time.Second        // a first load without a result frees its place after this time
+	minCleanSteps     = 2                      // steps in a row without rejections that end the limit, once the rate has reached the former rate
 )
 
-// Share is what a gateway admits after a start.
-type Share struct {
-	Worth    []float64 // of the classes
-	Former   float64   // calls a second that it served before; 0: it can't be known, and no rate is kept
-	Loads    int       // first loads of functions that the store of models bears from the whole fleet at once
-	Gateways int       // of the fleet that are there
+// AdmissionConfig holds what a gateway's admission after a start depends on.
+type AdmissionConfig struct {
+	ClassWorth []float64 // worth by class
+	FormerRate float64   // calls per second served before the start; 0 if not known, and then the rate is not limited
+	FirstLoads int       // first loads of functions that the model store can take from the whole fleet at once
+	Gateways   int       // gateways of the fleet that are available
 }
 
-// Admission admits requests while the gateway comes back: at a rate that rises in steps, those worth least being refused
-// first, and with so many first loads at once as are this gateway's part of what the store of models bears.
+// Admission limits the requests that are admitted while the gateway recovers. The admitted rate rises in steps, and classes of
+// lower worth are rejected first. The number of concurrent first loads is limited to this gateway's share of what the model
+// store can take.
 type Admission struct {
-	o       Share
-	keep    []float64 // tokens that a class leaves to those worth more
-	rate    float64
-	tokens  float64
-	at      time.Duration
-	step    time.Duration
-	good    int // served in this step
-	bad     int // refused by the module, or failed
-	turned  int // refused here
-	quiet   int // steps without that
-	stands  map[string]bool
-	loading map[string]time.Duration
-	done    bool
+	config     AdmissionConfig
+	reserve    []float64 // by class, the share of the burst that it leaves to classes of higher worth
+	rate       float64   // admitted calls per second
+	tokens     float64
+	refilledAt time.Duration
+	stepStart  time.Duration
+	served     int                      // admitted requests served in this step
+	failed     int                      // admitted requests that the module refused, or that failed, in this step
+	rejected   int                      // requests rejected here in this step
+	cleanSteps int                      // consecutive steps in which requests were served and none was rejected here
+	loaded     map[string]bool          // functions with a loaded copy
+	loading    map[string]time.Duration // first loads in flight, by function, with the time they began
+	done       bool
 }
 
-// NewAdmission begins at now. bear is what part of their capacity the workers have, cold as they are, 0 to 1.
-func NewAdmission(o Share, bear float64, now time.Duration) *Admission {
-	a := &Admission{o: o, at: now, step: now, stands: map[string]bool{}, loading: map[string]time.Duration{}}
-	a.rate = o.Former * max(beginPart, donePart*min(1, bear))
-	order := slices.Clone(o.Worth)
+// NewAdmission returns an admission that begins at now. capacityShare is the share of their full capacity that the workers
+// have at present, cold as they are, from 0 to 1.
+func NewAdmission(config AdmissionConfig, capacityShare float64, now time.Duration) *Admission {
+	a := &Admission{config: config, refilledAt: now, stepStart: now, loaded: map[string]bool{}, loading: map[string]time.Duration{}}
+	a.rate = config.FormerRate * max(initialShare, maxRateFactor*min(1, capacityShare))
+	order := slices.Clone(config.ClassWorth)
 	slices.SortFunc(order, func(x, y float64) int { return cmp.Compare(y, x) })
-	for _, w := range o.Worth {
-		rank := slices.Index(order, w)
-		a.keep = append(a.keep, reservePart*float64(rank)/float64(max(1, len(order)-1)))
+	for _, worth := range config.ClassWorth {
+		rank := slices.Index(order, worth)
+		a.reserve = append(a.reserve, reserveShare*float64(rank)/float64(max(1, len(order)-1)))
 	}
-	a.tokens = a.most()
+	a.tokens = a.maxTokens()
 	return a
 }
 
-func (a *Admission) most() float64 { return max(2, a.rate*burst.Seconds()) }
+func (a *Admission) maxTokens() float64 { return max(2, a.rate*burstWindow.Seconds()) }
 
-// Slots is how many first loads this gateway may have begun at once.
-func (a *Admission) Slots() int { return max(1, a.o.Loads/max(1, a.o.Gateways)) }
+// MaxFirstLoads returns how many first loads this gateway may have in flight at once.
+func (a *Admission) MaxFirstLoads() int { return max(1, a.config.FirstLoads/max(1, a.config.Gateways)) }
 
-// Fleet says how many gateways are there now.
-func (a *Admission) Fleet(n int) { a.o.Gateways = n }
+// SetGateways sets the number of gateways that are available now.
+func (a *Admission) SetGateways(n int) { a.config.Gateways = n }
 
-// Stands says that a copy of a function has been found, here or by another gateway.
-func (a *Admission) Stands(fn string) {
-	a.stands[fn] = true
+// MarkLoaded notes that this or another gateway has found a loaded copy of a function.
+func (a *Admission) MarkLoaded(fn string) {
+	a.loaded[fn] = true
 	delete(a.loading, fn)
 }
 
-// Admit reports whether a request is taken. One of a function that stands is taken as the rate and its class allow; one of
-// a function of which no copy is known needs a place among the first loads, and those that come for it meanwhile wait with
-// it, for as long as the module sees hope for them.
+// Admit reports whether a request is admitted. If a copy of its function is loaded, the rate and the reserve of its class
+// decide. If no copy is known, the request needs a place among the first loads; further requests for a function whose first
+// load is in flight are admitted too, and wait in the module for as long as it expects to serve them in time.
 func (a *Admission) Admit(now time.Duration, class int, fn string) bool {
 	if a.Done(now) {
 		return true
 	}
-	if !a.stands[fn] {
-		maps.DeleteFunc(a.loading, func(_ string, at time.Duration) bool { return now-at >= loadLimit })
-		if _, under := a.loading[fn]; under {
+	if !a.loaded[fn] {
+		maps.DeleteFunc(a.loading, func(_ string, at time.Duration) bool { return now-at >= firstLoadTimeout })
+		if _, inFlight := a.loading[fn]; inFlight {
 			return true
 		}
-		if len(a.loading) >= a.Slots() {
-			a.turned++
+		if len(a.loading) >= a.MaxFirstLoads() {
+			a.rejected++
 			return false
 		}
 		a.loading[fn] = now
 		return true
 	}
-	if a.o.Former <= 0 {
+	if a.config.FormerRate <= 0 {
 		return true
 	}
-	a.tokens = min(a.most(), a.tokens+a.rate*(now-a.at).Seconds())
-	a.at = now
-	keep := 0.0
-	if class >= 0 && class < len(a.keep) {
-		keep = a.keep[class] * a.most()
+	a.tokens = min(a.maxTokens(), a.tokens+a.rate*(now-a.refilledAt).Seconds())
+	a.refilledAt = now
+	reserved := 0.0
+	if class >= 0 && class < len(a.reserve) {
+		reserved = a.reserve[class] * a.maxTokens()
 	}
-	if a.tokens < 1+keep {
-		a.turned++
+	if a.tokens < 1+reserved {
+		a.rejected++
 		return false
 	}
 	a.tokens--
 	return true
 }
 
-// Ended says how a request that was admitted has ended. Only those of functions that stood say whether the rate is right:
-// the others waited for their loads.
-func (a *Admission) Ended(fn string, served bool) {
-	switch stood := a.stands[fn]; {
-	case served && stood:
-		a.good++
+// RecordOutcome records how an admitted request has ended. Only requests for functions that were loaded before are evidence of
+// whether the rate is right, since the others waited for their loads.
+func (a *Admission) RecordOutcome(fn string, served bool) {
+	switch wasLoaded := a.loaded[fn]; {
+	case served && wasLoaded:
+		a.served++
 	case served:
-		a.Stands(fn)
-	case stood:
-		a.bad++
+		a.MarkLoaded(fn)
+	case wasLoaded:
+		a.failed++
 	}
 }
 
-// Done reports whether nothing is held back any more; from then on it stays so.
+// Done reports whether all requests are admitted without limit. Once it has returned true it always does.
 func (a *Admission) Done(now time.Duration) bool {
-	for !a.done && now-a.step >= stepEvery {
-		a.step += stepEvery
-		if now-a.step > 10*stepEvery { // nobody has asked for long
-			a.step = now
+	for !a.done && now-a.stepStart >= stepInterval {
+		a.stepStart += stepInterval
+		if now-a.stepStart > 10*stepInterval { // not called for more than ten steps: skip the steps missed
+			a.stepStart = now
 		}
-		ended := a.good + a.bad
+		ended := a.served + a.failed
 		switch {
-		case ended > 0 && float64(a.good) >= wellPart*float64(ended):
-			a.rate = min(a.rate*stepUp, donePart*a.o.Former)
-		case ended > 0 && float64(a.good) < illPart*float64(ended):
-			a.rate = max(a.rate*stepDown, beginPart*a.o.Former/4)
+		case ended > 0 && float64(a.served) >= increaseThreshold*float64(ended):
+			a.rate = min(a.rate*increaseFactor, maxRateFactor*a.config.FormerRate)
+		case ended > 0 && float64(a.served) < decreaseThreshold*float64(ended):
+			a.rate = max(a.rate*decreaseFactor, initialShare*a.config.FormerRate/4)
 		}
-		if a.turned == 0 && a.good > 0 {
-			a.quiet++
+		if a.rejected == 0 && a.served > 0 {
+			a.cleanSteps++
 		} else {
-			a.quiet = 0
+			a.cleanSteps = 0
 		}
-		a.good, a.bad, a.turned = 0, 0, 0
-		a.done = a.quiet >= leastSteps && a.rate >= a.o.Former
+		a.served, a.failed, a.rejected = 0, 0, 0
+		a.done = a.cleanSteps >= minCleanSteps && a.rate >= a.config.FormerRate
 	}
 	return a.done
 }
 
-// Rate is how many calls a second are admitted at present.
+// Rate returns how many calls per second are admitted at present.
 func (a *Admission) Rate() float64 { return a.rate }
--- a/internal/fleet/recover/age.go
+++ b/internal/fleet/recover/age.go
@@ -1,19 +1,19 @@
-// Package recover decides what a gateway that starts believes of what it knew before, how it puts together what the
-// others tell it, and in which order it takes up service. It is pure: it gets times and events, and returns what to do.
+// Package recover decides which of its former state a starting gateway trusts, how it merges the answers of its peers, and in
+// which phases it takes up service. It is pure: times and events come in, and decisions go out.
 package recover
 
 import "time"
 
-// Stamp is a moment as a process can know it. Wall may step at any time, and across a power loss it may be anything; Up
-// never steps, and means something within one boot only.
+// Stamp is a moment as a process can know it. Wall may step at any time, and is arbitrary after a power loss. Up never steps,
+// but can only be compared within one boot.
 type Stamp struct {
 	Wall time.Duration // Unix time
-	Boot string        // names the machine's boot, "" where it is not known
-	Up   time.Duration // since that boot, with the time that the machine slept
+	Boot string        // identifies the boot of the machine; "" if not known
+	Up   time.Duration // time since that boot, suspended time included
 }
 
-// Age returns how long before now the stamp was taken. Where the machine has been booted since, or it can't be said, known
-// is false: the wall clock is not asked, since it may have stepped by any amount in either direction.
+// Age returns how long before now the stamp was taken. known is false if the machine has been booted since, or if that can't
+// be determined: the wall clock is not used instead, since it may have stepped by any amount in either direction.
 func (s Stamp) Age(now Stamp) (age time.Duration, known bool) {
 	if s.Boot == "" || s.Boot != now.Boot || s.Up > now.Up {
 		return 0, false
--- a/internal/fleet/recover/answer.go
+++ b/internal/fleet/recover/answer.go
@@ -6,102 +6,105 @@
 	"time"
 )
 
-// Answer is what a gateway tells another that asks. Times are ages, so that no two clocks are compared.
+// Answer is what a gateway answers to a peer that queries it. It holds ages instead of times, so that the clocks of two machines
+// are never compared.
 type Answer struct {
-	Event    uint64            // the last event of the list that it has taken
-	Draining []string          // workers that this list has draining
-	Marks    Checkpoints       // operators' words
-	Started  map[string]int64  // ms since the start of workers that are cold, or were of late
-	Stands   map[string][]Copy // copies that have been found, by function
-	Rate     float64           // calls a second that it serves
-	Full     bool              // it is in full service
+	Event        uint64            // the last event of the worker list that the gateway has applied
+	Draining     []string          // workers that are draining by this list
+	BanRecords   BanRecords        `msgpack:"Marks"` // operators' decisions on workers
+	Started      map[string]int64  // milliseconds since the start of each worker that is cold or was recently
+	LoadedCopies map[string][]Copy `msgpack:"Stands"` // copies found to be loaded, by function
+	Rate         float64           // calls per second that the gateway serves
+	Full         bool              // the gateway is in full service
 }
 
-// Copy is a copy at a worker, found so many ms ago.
+// Copy is a loaded copy of a function.
 type Copy struct {
 	Worker string
-	Age    int64
+	Age    int64 // milliseconds since the copy was last found to be loaded
 }
 
 const (
-	maxFunctions = 20000 // functions that a word may name
-	maxStands    = 64    // and copies of each
-	maxAge       = int64(24 * time.Hour / time.Millisecond)
+	maxFunctions = 20000 // functions in one answer
+	maxCopies    = 64    // copies of one function
+	maxAgeMs     = int64(24 * time.Hour / time.Millisecond)
 )
 
-// Check reports what no word can hold.
-func (w *Answer) Check() error {
-	if len(w.Draining) > maxList || len(w.Started) > maxList || len(w.Stands) > maxFunctions || !(w.Rate >= 0 && w.Rate <= maxRate) {
-		return fmt.Errorf("recover: word of %d draining, %d cold, %d functions, %v calls a second", len(w.Draining), len(w.Started),
-			len(w.Stands), w.Rate)
+// Check returns an error if the answer exceeds its bounds.
+func (a *Answer) Check() error {
+	if len(a.Draining) > maxWorkers || len(a.Started) > maxWorkers || len(a.LoadedCopies) > maxFunctions ||
+		!(a.Rate >= 0 && a.Rate <= maxRate) {
+		return fmt.Errorf("recover: answer out of bounds: %d draining workers, %d started workers, %d functions, %v calls per second",
+			len(a.Draining), len(a.Started), len(a.LoadedCopies), a.Rate)
 	}
-	for id, age := range w.Started {
-		if id == "" || age < 0 || age > maxAge {
-			return fmt.Errorf("recover: worker %q started %d ms ago", id, age)
+	for id, age := range a.Started {
+		if id == "" || age < 0 || age > maxAgeMs {
+			return fmt.Errorf("recover: worker %q started %d ms ago, want a name and 0 to %d ms", id, age, maxAgeMs)
 		}
 	}
-	for fn, at := range w.Stands {
-		if fn == "" || len(at) > maxStands {
-			return fmt.Errorf("recover: %d copies of %q", len(at), fn)
+	for fn, copies := range a.LoadedCopies {
+		if fn == "" || len(copies) > maxCopies {
+			return fmt.Errorf("recover: %d copies of function %q, want a name and at most %d", len(copies), fn, maxCopies)
 		}
-		for _, s := range at {
-			if s.Worker == "" || s.Age < 0 || s.Age > maxAge {
-				return fmt.Errorf("recover: copy of %q at %q found %d ms ago", fn, s.Worker, s.Age)
+		for _, c := range copies {
+			if c.Worker == "" || c.Age < 0 || c.Age > maxAgeMs {
+				return fmt.Errorf("recover: copy of %q at worker %q found %d ms ago, want a name and 0 to %d ms", fn, c.Worker, c.Age, maxAgeMs)
 			}
 		}
 	}
-	return w.Marks.Check()
+	return a.BanRecords.Check()
 }
 
-// Agreed is what the words of others come to. Each is put together so that a mistake is the safe one.
-type Agreed struct {
-	Marks    Checkpoints
-	Event    uint64                   // the newest list that anybody has
-	Draining map[string]uint64        // draining for somebody, by the newest list that says so
-	Started  map[string]time.Duration // the latest start of a worker, as a time of our clock
-	Stands   map[string]map[string]time.Duration
-	Words    int     // gateways that have answered
-	Full     int     // of these, in full service
-	Rate     float64 // what they serve together
+// PeerState is the merged content of the peers' answers. Where answers differ, the merge errs on the safe side.
+type PeerState struct {
+	BanRecords    BanRecords
+	Event         uint64                              // the newest event of the worker list that a peer has applied
+	Draining      map[string]uint64                   // workers that drain by a peer's list, with the newest event at which they do
+	Started       map[string]time.Duration            // the latest start of each worker, by this gateway's clock
+	LoadedCopies  map[string]map[string]time.Duration // when a copy was last found to be loaded, by function and worker
+	Answers       int                                 // gateways that have answered
+	InFullService int                                 // of these, gateways in full service
+	TotalRate     float64                             // calls per second that the answering gateways serve together
 }
 
-// NewAgreed returns what is known before anybody has answered.
-func NewAgreed() *Agreed {
-	return &Agreed{Marks: Checkpoints{}, Draining: map[string]uint64{}, Started: map[string]time.Duration{},
-		Stands: map[string]map[string]time.Duration{}}
+// NewPeerState returns the state before any peer has answered.
+func NewPeerState() *PeerState {
+	return &PeerState{BanRecords: BanRecords{}, Draining: map[string]uint64{}, Started: map[string]time.Duration{},
+		LoadedCopies: map[string]map[string]time.Duration{}}
 }
 
-// Add puts in the word of one more gateway, heard at now. The order of words is of no account.
-func (a *Agreed) Add(w *Answer, now time.Duration) {
-	a.Words++
-	if w.Full {
-		a.Full++
+// Add merges the answer of one more gateway, received at now. The order of the answers does not matter.
+func (p *PeerState) Add(answer *Answer, now time.Duration) {
+	p.Answers++
+	if answer.Full {
+		p.InFullService++
 	}
-	a.Rate += w.Rate
-	a.Marks.Join(w.Marks)
-	a.Event = max(a.Event, w.Event)
-	for _, id := range w.Draining {
-		a.Draining[id] = max(a.Draining[id], w.Event)
+	p.TotalRate += answer.Rate
+	p.BanRecords.Merge(answer.BanRecords)
+	p.Event = max(p.Event, answer.Event)
+	for _, id := range answer.Draining {
+		p.Draining[id] = max(p.Draining[id], answer.Event)
 	}
-	for id, age := range w.Started {
-		a.Started[id] = max(a.Started[id], now-time.Duration(age)*time.Millisecond)
+	for id, age := range answer.Started {
+		p.Started[id] = max(p.Started[id], now-time.Duration(age)*time.Millisecond)
 	}
-	for fn, at := range w.Stands {
-		if a.Stands[fn] == nil {
-			if len(a.Stands) >= maxFunctions {
+	for fn, copies := range answer.LoadedCopies {
+		if p.LoadedCopies[fn] == nil {
+			if len(p.LoadedCopies) >= maxFunctions {
 				continue
 			}
-			a.Stands[fn] = map[string]time.Duration{}
+			p.LoadedCopies[fn] = map[string]time.Duration{}
 		}
-		for _, s := range at {
-			a.Stands[fn][s.Worker] = max(a.Stands[fn][s.Worker], now-time.Duration(s.Age)*time.Millisecond)
+		for _, c := range copies {
+			p.LoadedCopies[fn][c.Worker] = max(p.LoadedCopies[fn][c.Worker], now-time.Duration(c.Age)*time.Millisecond)
 		}
 	}
 }
 
-// Held returns the workers that must be left alone until this gateway's own list has come to an event: somebody whose
-// list is newer than ours has them draining. What our own list has come to is forgotten.
-func (a *Agreed) Held(own uint64) map[string]uint64 {
-	maps.DeleteFunc(a.Draining, func(_ string, event uint64) bool { return event <= own })
-	return maps.Clone(a.Draining)
+// NewerDrains returns the workers that drain by a peer's list that is newer than this gateway's, whose last event is ownEvent.
+// They must not be used until this gateway's list has reached the event given for them. Workers whose event has been reached
+// are forgotten.
+func (p *PeerState) NewerDrains(ownEvent uint64) map[string]uint64 {
+	maps.DeleteFunc(p.Draining, func(_ string, event uint64) bool { return event <= ownEvent })
+	return maps.Clone(p.Draining)
 }
--- a/internal/fleet/recover/phases.go
+++ b/internal/fleet/recover/phases.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// Phase is how far a gateway that starts has come.
+// Phase is a phase of a gateway's start.
 type Phase int
 
 // The phases, in order.
 const (
-	Reading   Phase = iota // operators are heard, the state is read
-	Asking                 // the others are asked
-	Listing                // the list of workers is brought up to date
-	Admitting              // clients are admitted by share
-	Full                   // full service
+	Reading   Phase = iota // the gateway reads its state from disk; operators are served already
+	Querying               // it queries its peers
+	Listing                // it waits for an up-to-date list of workers
+	Admitting              // it admits a limited share of the clients' requests
+	Full                   // it is in full service
 )
 
 func (p Phase) String() string {
 	return [...]string{"reading its state", "asking the others", "waiting for the list", "admitting by share", "in full service"}[p]
 }
 
-// The longest that a phase may last; then the gateway goes on without what it waited for.
+// The time limits of the phases. When one has passed, the gateway goes on without what it waited for.
 const (
 	ReadLimit  = time.Second
-	AskLimit   = 700 * time.Millisecond
+	QueryLimit = 700 * time.Millisecond
 	ListLimit  = time.Second
 	AdmitLimit = 60 * time.Second
 )
 
-// Phases is a gateway's way through the phases. Its times are of any clock that does not go back.
-type Phases struct {
-	phase  Phase
-	since  time.Duration
-	poorer []string
+// PhaseTracker tracks a gateway's progress through the phases. Its times may be of any monotonic clock.
+type PhaseTracker struct {
+	phase   Phase
+	since   time.Duration
+	missing []string
 }
 
-// NewPhases begins at now.
-func NewPhases(now time.Duration) *Phases { return &Phases{since: now} }
+// NewPhaseTracker returns a tracker whose first phase begins at now.
+func NewPhaseTracker(now time.Duration) *PhaseTracker { return &PhaseTracker{since: now} }
 
-// Phase is the present phase.
-func (c *Phases) Phase() Phase { return c.phase }
+// Phase returns the present phase.
+func (t *PhaseTracker) Phase() Phase { return t.phase }
 
-// Since is when the present phase began.
-func (c *Phases) Since() time.Duration { return c.since }
+// Since returns when the present phase began.
+func (t *PhaseTracker) Since() time.Duration { return t.since }
 
-// Poorer is what the gateway has had to go on without.
-func (c *Phases) Poorer() []string { return c.poorer }
+// Missing returns what the gateway has had to go on without.
+func (t *PhaseTracker) Missing() []string { return t.missing }
 
-// Limit is the longest that a phase may last.
+// Limit returns the time limit of a phase, 0 if it has none.
 func (p Phase) Limit() time.Duration {
-	return [...]time.Duration{ReadLimit, AskLimit, ListLimit, AdmitLimit, 0}[p]
+	return [...]time.Duration{ReadLimit, QueryLimit, ListLimit, AdmitLimit, 0}[p]
 }
 
-// Pass ends a phase; without names what was missed, "" if nothing was. It reports whether the phase was the present one:
-// what comes later than its limit is late, and changes nothing.
-func (c *Phases) Pass(now time.Duration, p Phase, without string) bool {
-	if p != c.phase || p == Full {
+// Complete ends a phase. without names what the gateway goes on without, "" if nothing is missing. It reports whether the phase
+// was the present one: the completion of a phase that is over already changes nothing.
+func (t *PhaseTracker) Complete(now time.Duration, phase Phase, without string) bool {
+	if phase != t.phase || phase == Full {
 		return false
 	}
 	if without != "" {
-		c.poorer = append(c.poorer, without)
+		t.missing = append(t.missing, without)
 	}
-	c.phase, c.since = p+1, now
+	t.phase, t.since = phase+1, now
 	return true
 }
 
-// Due reports whether the present phase has lasted too long.
-func (c *Phases) Due(now time.Duration) bool {
-	limit := c.phase.Limit()
-	return limit > 0 && now-c.since >= limit
+// TimedOut reports whether the present phase has reached its time limit.
+func (t *PhaseTracker) TimedOut(now time.Duration) bool {
+	limit := t.phase.Limit()
+	return limit > 0 && now-t.since >= limit
 }
--- a/internal/fleet/recover/phases_test.go
+++ b/internal/fleet/recover/phases_test.go
@@ -9,79 +9,80 @@
 	"quillrail/decide"
 )
 
-// Phases follow each other, each ends once, and what comes late changes nothing.
-func TestCourse(t *testing.T) {
-	c := NewPhases(wall)
-	for now, p := wall, Reading; p < Full; p++ {
-		if c.Due(now) || !c.Due(now+p.Limit()) {
-			t.Errorf("%v is due at the wrong time", p)
+// Phases follow each other in order, each ends once, and completing a phase that is over changes nothing.
+func TestPhaseTrackerAdvancesInOrderAndIgnoresLateCompletion(t *testing.T) {
+	tracker := NewPhaseTracker(testTime)
+	for now, p := testTime, Reading; p < Full; p++ {
+		if tracker.TimedOut(now) || !tracker.TimedOut(now+p.Limit()) {
+			t.Errorf("%v does not time out exactly at its limit", p)
 		}
 		now += p.Limit()
-		if !c.Pass(now, p, "something") || c.Pass(now, p, "") || c.Phase() != p+1 {
-			t.Errorf("%v: now %v", p, c.Phase())
+		if !tracker.Complete(now, p, "something") || tracker.Complete(now, p, "") || tracker.Phase() != p+1 {
+			t.Errorf("%v was not completed exactly once: the phase is now %v", p, tracker.Phase())
 		}
 	}
-	if c.Pass(wall, Full, "") || c.Due(wall+time.Hour) || len(c.Poorer()) != 4 {
-		t.Errorf("at the end: %v, without %v", c.Phase(), c.Poorer())
+	if tracker.Complete(testTime, Full, "") || tracker.TimedOut(testTime+time.Hour) || len(tracker.Missing()) != 4 {
+		t.Errorf("at the end: phase %v, missing %v", tracker.Phase(), tracker.Missing())
 	}
 }
 
-// No more first loads are under way than there are places, however calls come and end; who is worth most is never refused
-// where somebody worth less is taken; once it is done it stays done.
-func TestAdmission(t *testing.T) {
+// Checks for any sequence of calls and outcomes that first loads in flight never exceed their limit, that the class of highest
+// worth is not rejected while the rate allows a call, and that an admission that is done stays done.
+func TestAdmissionBoundsFirstLoadsAndPrefersHighestWorth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now, gateways := wall, rapid.IntRange(1, 5).Draw(t, "gateways")
-		a := NewAdmission(Share{Worth: []float64{1, 5}, Former: float64(rapid.IntRange(0, 50).Draw(t, "former")), Loads: 6, Gateways: gateways},
-			rapid.Float64Range(0, 1).Draw(t, "bear"), now)
-		under := map[string]time.Duration{}
+		now, gateways := testTime, rapid.IntRange(1, 5).Draw(t, "gateways")
+		a := NewAdmission(AdmissionConfig{ClassWorth: []float64{1, 5}, FormerRate: float64(rapid.IntRange(0, 50).Draw(t, "former")),
+			FirstLoads: 6, Gateways: gateways}, rapid.Float64Range(0, 1).Draw(t, "bear"), now)
+		loading := map[string]time.Duration{}
 		done := false
 		for range 200 {
 			now += time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond
 			fn := string(rune('a' + rapid.IntRange(0, 12).Draw(t, "fn")))
 			class := rapid.IntRange(0, 1).Draw(t, "class")
 			if done && !a.Done(now) {
-				t.Fatal("it begins again")
+				t.Fatal("the admission was done and is limited again")
 			}
 			done = a.Done(now)
-			stood, spare := a.stands[fn], a.tokens
-			ok := a.Admit(now, class, fn)
-			if !ok && stood && class == 1 && spare >= 1 {
-				t.Fatal("the class worth most is refused with room left")
+			wasLoaded, tokens := a.loaded[fn], a.tokens
+			admitted := a.Admit(now, class, fn)
+			if !admitted && wasLoaded && class == 1 && tokens >= 1 {
+				t.Fatal("a call of the class of highest worth is rejected although a token is left")
 			}
-			if ok && !stood && !done {
-				if _, twice := under[fn]; !twice {
-					under[fn] = now
+			if admitted && !wasLoaded && !done {
+				if _, known := loading[fn]; !known {
+					loading[fn] = now
 				}
 			}
-			for f, at := range under {
-				if a.stands[f] || now-at >= loadLimit {
-					delete(under, f)
+			for other, at := range loading {
+				if a.loaded[other] || now-at >= firstLoadTimeout {
+					delete(loading, other)
 				}
 			}
-			if !done && len(under) > a.Slots() {
-				t.Fatalf("%d first loads in %d places", len(under), a.Slots())
+			if !done && len(loading) > a.MaxFirstLoads() {
+				t.Fatalf("%d first loads in flight, want at most %d", len(loading), a.MaxFirstLoads())
 			}
-			if ok && rapid.Bool().Draw(t, "ends") {
-				a.Ended(fn, rapid.IntRange(0, 3).Draw(t, "served") > 0)
-				if a.stands[fn] {
-					delete(under, fn)
+			if admitted && rapid.Bool().Draw(t, "ends") {
+				a.RecordOutcome(fn, rapid.IntRange(0, 3).Draw(t, "served") > 0)
+				if a.loaded[fn] {
+					delete(loading, fn)
 				}
 			}
 		}
 	})
 }
 
-func TestSavedIsChecked(t *testing.T) {
-	good := Saved{List: []decide.Host{{Name: "w"}}, Addrs: []string{"a:1"}, Former: 1, Alive: 3}
+func TestSavedCheckRejectsInvalidState(t *testing.T) {
+	good := Saved{List: []decide.Host{{Name: "w"}}, Addrs: []string{"a:1"}, FormerRate: 1, Alive: 3}
 	if err := good.Check(); err != nil {
 		t.Error(err)
 	}
-	for i, change := range []func(*Saved){func(s *Saved) { s.Addrs = nil }, func(s *Saved) { s.Former = -1 }, func(s *Saved) { s.Alive = -1 },
-		func(s *Saved) { s.List = []decide.Host{{}} }, func(s *Saved) { s.List = []decide.Host{{Name: "w", State: 9}} },
-		func(s *Saved) { s.Marks = Checkpoints{"": {}} }} {
+	for i, change := range []func(*Saved){func(s *Saved) { s.Addrs = nil }, func(s *Saved) { s.FormerRate = -1 },
+		func(s *Saved) { s.Alive = -1 }, func(s *Saved) { s.List = []decide.Host{{}} },
+		func(s *Saved) { s.List = []decide.Host{{Name: "w", State: 9}} },
+		func(s *Saved) { s.BanRecords = BanRecords{"": {}} }} {
 		s := good
 		if change(&s); s.Check() == nil {
-			t.Errorf("change %d is not noticed", i)
+			t.Errorf("Check accepts invalid change %d", i)
 		}
 	}
 }
--- a/internal/fleet/recover/recover_test.go
+++ b/internal/fleet/recover/recover_test.go
@@ -13,45 +13,46 @@
 	"quillrail/decide"
 )
 
-// The same steps each time; -rapid.seed on the command line draws others.
+// A fixed seed makes the drawn steps the same in each run; -rapid.seed on the command line overrides it.
 func init() {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.nofailfile", "true")
 }
 
-type silent struct{}
+// discardOutput is a decide.Gateway that does nothing.
+type discardOutput struct{}
 
-func (silent) Route(uint64, string, time.Duration)         {}
-func (silent) Retract(uint64, int)                         {}
-func (silent) Refuse(uint64, time.Duration, decide.Reason) {}
-func (silent) Fail(uint64, decide.Reason)                  {}
-func (silent) Order(string, string, int)                   {}
-func (silent) Unload(string, string)                       {}
-func (silent) Probe(string)                                {}
-func (silent) SendPeer(int, []byte)                        {}
-func (silent) Watch(bool)                                  {}
-func (silent) Lookup()                                     {}
-func (silent) Release(string)                              {}
-func (silent) WakeAt(time.Duration, string)                {}
-func (silent) Log(decide.Notice)                           {}
+func (discardOutput) Route(uint64, string, time.Duration)         {}
+func (discardOutput) Retract(uint64, int)                         {}
+func (discardOutput) Refuse(uint64, time.Duration, decide.Reason) {}
+func (discardOutput) Fail(uint64, decide.Reason)                  {}
+func (discardOutput) Order(string, string, int)                   {}
+func (discardOutput) Unload(string, string)                       {}
+func (discardOutput) Probe(string)                                {}
+func (discardOutput) SendPeer(int, []byte)                        {}
+func (discardOutput) Watch(bool)                                  {}
+func (discardOutput) Lookup()                                     {}
+func (discardOutput) Release(string)                              {}
+func (discardOutput) WakeAt(time.Duration, string)                {}
+func (discardOutput) Log(decide.Notice)                           {}
 
-func router(t interface{ Fatal(...any) }) *decide.Router {
+func newRouter(t interface{ Fatal(...any) }) *decide.Router {
 	r, err := decide.New(decide.Settings{Classes: []decide.Class{{Aim: time.Second, Deadline: 4 * time.Second}},
-		Tenants: []decide.Tenant{{}}, MaxAttempts: 3, KeepAlive: 10 * time.Second}, 1, silent{})
+		Tenants: []decide.Tenant{{}}, MaxAttempts: 3, KeepAlive: 10 * time.Second}, 1, discardOutput{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-const wall = 1000 * time.Hour // of the day of these tests
+const testTime = 1000 * time.Hour // the wall clock time at which the tests take place
 
-// memory draws what a module may have learnt by wall.
-func memory(t *rapid.T) *decide.Snapshot {
+// drawMemory draws what a module may have learnt by testTime.
+func drawMemory(t *rapid.T) *decide.Snapshot {
 	past := func(name string) time.Duration {
-		return wall - time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, name))
+		return testTime - time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, name))
 	}
-	m := router(t).Snapshot()
+	m := newRouter(t).Snapshot()
 	m.ServedRate, m.ServedAt, m.Lateness, m.RecentCalls, m.CalledAt = 7, past("good"), 0.5, 9, past("called")
 	for range rapid.IntRange(0, 3).Draw(t, "orders") {
 		m.Orders, m.Arrivals = append(m.Orders, past("order")), append(m.Arrivals, past("arrival"))
@@ -64,13 +65,13 @@
 	return m
 }
 
-var limits = Limits{Classes: 1, Tenants: 1}
+var dimensions = Dimensions{Classes: 1, Tenants: 1}
 
-// Whatever was saved and whatever the clock has done since, a new module accepts it, and by the rule: in one boot a step of
-// the wall clock changes nothing but the times' origin; after another boot guards count as used now, and no copy stands.
-func TestWhatIsTrusted(t *testing.T) {
+// Checks that a new module accepts the restored memory, whatever was saved and however the wall clock has stepped since. Within one
+// boot a step only moves the times; after another boot, limited uses count as made now and no copy counts as loaded.
+func TestRestoreShiftsTimesInOneBootAndResetsAfterAnother(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := memory(t)
+		m := drawMemory(t)
 		age := time.Duration(rapid.Int64Range(0, int64(5*time.Minute)).Draw(t, "age"))
 		step := time.Duration(rapid.Int64Range(-int64(500*time.Hour), int64(500*time.Hour)).Draw(t, "step"))
 		saved := func() *Saved {
@@ -82,16 +83,16 @@
 			f := m.Functions[0]
 			f.Placements = slices.Clone(f.Placements)
 			c.Workers, c.Functions = []decide.WorkerSnapshot{w}, []decide.FunctionSnapshot{f}
-			return &Saved{At: Stamp{Wall: wall, Boot: "a", Up: time.Hour}, Module: &c, Former: 7}
+			return &Saved{At: Stamp{Wall: testTime, Boot: "a", Up: time.Hour}, Module: &c, FormerRate: 7}
 		}
 		for _, boot := range []string{"a", "b", ""} {
-			now := Stamp{Wall: wall + age + step, Boot: boot, Up: time.Hour + age}
+			now := Stamp{Wall: testTime + age + step, Boot: boot, Up: time.Hour + age}
 			s := saved()
-			verdicts := s.Trusted(now, limits)
+			verdicts := s.Restore(now, dimensions)
 			if len(verdicts) != 13 {
-				t.Fatalf("%d verdicts", len(verdicts))
+				t.Fatalf("%d verdicts, want 13", len(verdicts))
 			}
-			if err := router(t).Restore(s.Module, now.Wall); err != nil {
+			if err := newRouter(t).Restore(s.Module, now.Wall); err != nil {
 				t.Fatalf("boot %q, age %v, step %v: %v", boot, age, step, err)
 			}
 			p := s.Module.Functions[0].Placements[0]
@@ -103,86 +104,90 @@
 			}
 			if p.Loaded || p.SentAt != now.Wall || slices.ContainsFunc(s.Module.Orders, func(x time.Duration) bool { return x != now.Wall }) ||
 				s.Module.Workers[0].ColdSends[0] != now.Wall || s.Module.Workers[0].EjectedUntil[0] != 0 {
-				t.Fatalf("of unknown age, and believed: %+v", s.Module)
+				t.Fatalf("memory of unknown age is not reset: %+v", s.Module)
 			}
 		}
 		s := saved()
-		if s.Trusted(Stamp{Wall: wall}, Limits{Classes: 2, Tenants: 1}); s.Module != nil {
-			t.Fatal("a memory of other settings is used")
+		if s.Restore(Stamp{Wall: testTime}, Dimensions{Classes: 2, Tenants: 1}); s.Module != nil {
+			t.Fatal("a memory made with other settings is used")
 		}
 	})
 }
 
-func marks(t *rapid.T, name string) Checkpoints {
-	return rapid.MapOf(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.Custom(func(t *rapid.T) Checkpoint {
-		return Checkpoint{rapid.Uint64Range(1, 4).Draw(t, "seq"), rapid.Bool().Draw(t, "banned"),
+func drawBanRecords(t *rapid.T, name string) BanRecords {
+	return rapid.MapOf(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.Custom(func(t *rapid.T) BanRecord {
+		return BanRecord{rapid.Uint64Range(1, 4).Draw(t, "seq"), rapid.Bool().Draw(t, "banned"),
 			time.Duration(rapid.Int64Range(0, 2).Draw(t, "since"))}
 	})).Draw(t, name)
 }
 
-// Marks come to the same in whatever order they are joined and however often; of two words of one number the ban counts.
-func TestMarksConverge(t *testing.T) {
-	join := func(all ...Checkpoints) Checkpoints {
-		m := Checkpoints{}
+// Ban records merge to the same result in any order and repeatedly; of two records with the same number the ban wins.
+func TestBanRecordsConvergeInAnyMergeOrder(t *testing.T) {
+	mergeAll := func(all ...BanRecords) BanRecords {
+		m := BanRecords{}
 		for _, x := range all {
-			m.Join(x)
+			m.Merge(x)
 		}
 		return m
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := marks(t, "a"), marks(t, "b"), marks(t, "c")
-		one := join(a, b, c)
-		if other := join(c, a, join(b, a), c); !maps.Equal(one, other) {
-			t.Fatalf("%v and %v", one, other)
+		a, b, c := drawBanRecords(t, "a"), drawBanRecords(t, "b"), drawBanRecords(t, "c")
+		merged := mergeAll(a, b, c)
+		if reordered := mergeAll(c, a, mergeAll(b, a), c); !maps.Equal(merged, reordered) {
+			t.Fatalf("the result depends on the order of merges: %v and %v", merged, reordered)
 		}
-		for id, k := range one {
-			for _, m := range []Checkpoints{a, b, c} {
-				if o, ok := m[id]; ok && (o.Seq > k.Seq || o.Seq == k.Seq && o.Banned && !k.Banned) {
-					t.Fatalf("%v is forgotten for %v", o, k)
+		for id, r := range merged {
+			for _, m := range []BanRecords{a, b, c} {
+				if old, ok := m[id]; ok && (old.Seq > r.Seq || old.Seq == r.Seq && old.Banned && !r.Banned) {
+					t.Fatalf("%v was replaced by %v", old, r)
 				}
 			}
 		}
-		was := one["a"]
-		if k := one.Say("a", !was.Banned, 0); !k.Newer(was) {
-			t.Fatalf("%v does not follow %v", k, was)
+		was := merged["a"]
+		if r := merged.Set("a", !was.Banned, 0); !r.Supersedes(was) {
+			t.Fatalf("%v does not supersede %v", r, was)
 		}
 	})
-	full := Checkpoints{}
-	for i := range maxMarks {
-		full[string(rune(0x4e00+i))] = Checkpoint{Seq: 1}
+	full := BanRecords{}
+	for i := range maxBanRecords {
+		full[string(rune(0x4e00+i))] = BanRecord{Seq: 1}
 	}
-	if _, refused := full.Join(Checkpoints{"one more": {Seq: 1, Banned: true}}); refused != 1 || len(full) != maxMarks {
-		t.Errorf("%d refused, %d marks", refused, len(full))
+	if _, refused := full.Merge(BanRecords{"one more": {Seq: 1, Banned: true}}); refused != 1 || len(full) != maxBanRecords {
+		t.Errorf("%d records refused, %d stored", refused, len(full))
 	}
 }
 
-// Words come to the same in any order: the newest list, whoever drains for anybody, the latest start, the latest find.
-func TestWordsAreJoinedTowardsSafety(t *testing.T) {
-	a := &Answer{Event: 5, Draining: []string{"x"}, Started: map[string]int64{"y": 3000}, Stands: map[string][]Copy{"f": {{"x", 500}}}, Rate: 10}
-	b := &Answer{Event: 8, Started: map[string]int64{"y": 1000}, Stands: map[string][]Copy{"f": {{"x", 100}, {"z", 0}}}, Rate: 20, Full: true,
-		Marks: Checkpoints{"w": {Seq: 1, Banned: true}}}
-	one, other := NewAgreed(), NewAgreed()
-	for _, w := range []*Answer{a, b} {
-		if err := w.Check(); err != nil {
+// Answers merge to the same result in any order: the newest list, all draining workers, the latest start of a worker, and the latest
+// time at which a copy was found.
+func TestPeerStateMergesAnswersConservativelyInAnyOrder(t *testing.T) {
+	a := &Answer{Event: 5, Draining: []string{"x"}, Started: map[string]int64{"y": 3000}, LoadedCopies: map[string][]Copy{"f": {{"x", 500}}},
+		Rate: 10}
+	b := &Answer{Event: 8, Started: map[string]int64{"y": 1000}, LoadedCopies: map[string][]Copy{"f": {{"x", 100}, {"z", 0}}},
+		Rate: 20, Full: true, BanRecords: BanRecords{"w": {Seq: 1, Banned: true}}}
+	merged, reordered := NewPeerState(), NewPeerState()
+	for _, answer := range []*Answer{a, b} {
+		if err := answer.Check(); err != nil {
 			t.Fatal(err)
 		}
-		one.Add(w, wall)
+		merged.Add(answer, testTime)
 	}
-	other.Add(b, wall)
-	other.Add(a, wall)
-	if !reflect.DeepEqual(one, other) {
-		t.Errorf("%+v and %+v", one, other)
+	reordered.Add(b, testTime)
+	reordered.Add(a, testTime)
+	if !reflect.DeepEqual(merged, reordered) {
+		t.Errorf("the result depends on the order of answers: %+v and %+v", merged, reordered)
 	}
-	if one.Event != 8 || one.Words != 2 || one.Full != 1 || one.Started["y"] != wall-time.Second || len(one.Stands["f"]) != 2 {
-		t.Errorf("agreed: %+v", one)
+	if merged.Event != 8 || merged.Answers != 2 || merged.InFullService != 1 || merged.Started["y"] != testTime-time.Second ||
+		len(merged.LoadedCopies["f"]) != 2 {
+		t.Errorf("merged state: %+v", merged)
 	}
-	if held := one.Held(4); held["x"] != 5 || len(one.Held(5)) != 0 {
-		t.Errorf("held: %v, and once the list is there %v", held, one.Held(5))
+	if drains := merged.NewerDrains(4); drains["x"] != 5 || len(merged.NewerDrains(5)) != 0 {
+		t.Errorf("drains newer than event 4: %v, newer than event 5: %v", drains, merged.NewerDrains(5))
 	}
-	for _, w := range []Answer{{Rate: -1}, {Started: map[string]int64{"": 1}}, {Started: map[string]int64{"a": -1}},
-		{Stands: map[string][]Copy{"f": {{"", 1}}}}, {Stands: map[string][]Copy{"f": {{"w", maxAge + 1}}}}, {Marks: Checkpoints{"": {}}}} {
-		if w.Check() == nil {
-			t.Errorf("heeded: %+v", w)
+	for _, answer := range []Answer{{Rate: -1}, {Started: map[string]int64{"": 1}}, {Started: map[string]int64{"a": -1}},
+		{LoadedCopies: map[string][]Copy{"f": {{"", 1}}}}, {LoadedCopies: map[string][]Copy{"f": {{"w", maxAgeMs + 1}}}},
+		{BanRecords: BanRecords{"": {}}}} {
+		if answer.Check() == nil {
+			t.Errorf("Check accepts an invalid answer: %+v", answer)
 		}
 	}
 }
--- a/internal/fleet/recover/trust.go
+++ b/internal/fleet/recover/trust.go
@@ -12,141 +12,141 @@
 // Kind is a kind of state that outlives a process.
 type Kind string
 
-// The kinds, and for each what Verdicts says of it.
+// The kinds of state. Verdicts gives the rule for each.
 const (
-	Incarnations Kind = "incarnation"
-	Bans         Kind = "bans"
-	List         Kind = "list"
-	Drains       Kind = "drains"
-	ColdMarks    Kind = "cold marks"
-	ColdSends    Kind = "sends to cold workers"
-	Ration       Kind = "load ration"
-	Health       Kind = "health"
-	Rates        Kind = "rates"
-	Copies       Kind = "copies"
-	Shares       Kind = "tenants' counters"
-	Keys         Kind = "keys and answers"
-	InHand       Kind = "work in hand"
+	Incarnations   Kind = "incarnation"
+	Bans           Kind = "bans"
+	List           Kind = "list"
+	Drains         Kind = "drains"
+	ColdMarks      Kind = "cold marks"
+	ColdSends      Kind = "sends to cold workers"
+	Ration         Kind = "load ration"
+	Health         Kind = "health"
+	Rates          Kind = "rates"
+	Copies         Kind = "copies"
+	TenantCounters Kind = "tenants' counters"
+	Keys           Kind = "keys and answers"
+	InFlight       Kind = "work in hand"
 )
 
-// Trust is how far a kind of state is believed after a start.
+// Trust is how far a kind of state is trusted after a start.
 type Trust int
 
 // The degrees of trust.
 const (
-	Kept      Trust = iota // as it is
-	Until                  // as it is, until a time that it names itself
-	Doubted                // used where a mistake costs little, until it is confirmed
-	Discarded              // as if it had never been known
+	Kept        Trust = iota // used as it is
+	UntilExpiry              // used as it is, until an expiry time that is part of the state
+	Doubted                  // used only where a mistake costs little, until it is confirmed
+	Discarded                // treated as if it had never been known
 )
 
 func (t Trust) String() string {
 	return [...]string{"kept", "kept until its time", "doubted until confirmed", "discarded"}[t]
 }
 
-// Verdict is what becomes of a kind of state, and why.
+// Verdict is the decision on a kind of state, with the reason.
 type Verdict struct {
 	Kind  Kind
 	Trust Trust
 	Why   string
 }
 
-// Verdicts is the rule: what a gateway believes of its own state, by whether the age of that state is known. Workers that
-// lost power as well need no column: the list tells each worker's start, and what was known of a worker before its last
-// start is dropped when the list is taken.
-func Verdicts(aged bool) []Verdict {
-	rule := []struct {
-		kind         Kind
-		known, other Trust
-		why, whyNot  string // the second only where it differs
+// Verdicts returns how far a gateway trusts each kind of its own state, by whether the age of the state is known. It makes no
+// difference whether the workers have lost power as well: the list gives the start of each worker, and what was known of a worker
+// before its last start is dropped when the list is applied.
+func Verdicts(ageKnown bool) []Verdict {
+	rules := []struct {
+		kind              Kind
+		known, unknown    Trust  // by whether the age is known
+		reason, ifUnknown string // ifUnknown is the reason for an unknown age, where it differs
 	}{
-		{Incarnations, Kept, Kept, "a number is never used twice", ""},
+		{Incarnations, Kept, Kept, "an incarnation number is never used twice", ""},
 		{Bans, Kept, Kept, "only an operator ends a ban", ""},
 		{List, Doubted, Doubted, "until the bulletin has spoken", ""},
-		{Drains, Kept, Kept, "a worker that drained is left alone until the list says otherwise", ""},
-		{ColdMarks, Until, Doubted, "cold for as long as the settings say", "counts as started now"},
-		{ColdSends, Until, Doubted, "count for as long as the settings say", "count as sent now"},
-		{Ration, Until, Doubted, "orders count for their window", "all of it counts as used now"},
-		{Health, Until, Discarded, "set aside until its time", "its time can't be known; a try costs one call"},
-		{Rates, Doubted, Doubted, "as the measure of what the fleet bears, until there is a newer one", ""},
-		{Copies, Until, Doubted, "for as long as an idle copy stands", "a home, but no copy is known to stand"},
-		{Shares, Kept, Discarded, "they only share out", ""},
-		{Keys, Discarded, Discarded, "not kept on disk; workers drop repeats", ""},
-		{InHand, Discarded, Discarded, "not kept on disk; nothing is sent again", ""},
+		{Drains, Kept, Kept, "a draining worker is skipped until the list shows another state", ""},
+		{ColdMarks, UntilExpiry, Doubted, "a worker is cold for the period in the settings", "counts as started now"},
+		{ColdSends, UntilExpiry, Doubted, "sends count for the period in the settings", "sends count as made now"},
+		{Ration, UntilExpiry, Doubted, "load orders count for their window", "all of the ration counts as used now"},
+		{Health, UntilExpiry, Discarded, "ejected until the stored time", "the time left is not known, and trying a worker costs one call"},
+		{Rates, Doubted, Doubted, "the estimate of the fleet's capacity until there is a newer one", ""},
+		{Copies, UntilExpiry, Doubted, "for as long as an idle copy stays loaded", "a home, but no copy is known to stand"},
+		{TenantCounters, Kept, Discarded, "they only decide how capacity is shared", ""},
+		{Keys, Discarded, Discarded, "not stored on disk; workers drop repeats", ""},
+		{InFlight, Discarded, Discarded, "not stored on disk; no call is sent again", ""},
 	}
 	var out []Verdict
-	for _, r := range rule {
-		v := Verdict{r.kind, r.known, r.why}
-		if !aged {
-			v.Trust, v.Why = r.other, cmp.Or(r.whyNot, r.why)
+	for _, r := range rules {
+		v := Verdict{r.kind, r.known, r.reason}
+		if !ageKnown {
+			v.Trust, v.Why = r.unknown, cmp.Or(r.ifUnknown, r.reason)
 		}
 		out = append(out, v)
 	}
 	return out
 }
 
-// Saved is what a gateway keeps on disk, besides its incarnation.
+// Saved is the state that a gateway stores on disk, besides its incarnation.
 type Saved struct {
-	At     Stamp
-	Event  uint64        // the last event of the list that was taken
-	List   []decide.Host // the workers as the list had them then
-	Addrs  []string      // where they listen, in the same order
-	Roster roster.Saved
-	Marks  Checkpoints      // who was left out by hand, with the order of it
-	Module *decide.Snapshot // what the module had learnt; nil if it could not be kept
-	Former float64          // calls a second that this gateway served in normal service, 0 if not known
-	Alive  int              // gateways of the fleet, this one too
+	At         Stamp
+	Event      uint64        // the last event of the worker list that was applied
+	List       []decide.Host // the workers by that list
+	Addrs      []string      // their addresses, in the same order
+	Roster     roster.Saved
+	BanRecords BanRecords       `msgpack:"Marks"` // operators' decisions on workers
+	Module     *decide.Snapshot // what the module has learnt; nil if it could not be saved
+	FormerRate float64          `msgpack:"Former"` // calls per second that this gateway served in full service, 0 if not known
+	Alive      int              // gateways of the fleet, including this one
 }
 
 const (
-	maxList = 4096             // workers that a state may name
-	maxRate = 1e6              // calls a second that a state may claim
-	rateAge = 10 * time.Minute // what is older says little of how calls are shared out today
+	maxWorkers = 4096             // workers in a saved state or an answer
+	maxRate    = 1e6              // calls per second in a saved state or an answer
+	maxRateAge = 10 * time.Minute // an older rate says little about how calls are shared among the gateways today
 )
 
-// Check reports what no saved state can hold.
+// Check returns an error if the saved state exceeds its bounds.
 func (s *Saved) Check() error {
 	switch {
-	case len(s.List) != len(s.Addrs) || len(s.List) > maxList:
-		return fmt.Errorf("recover: %d workers with %d addresses", len(s.List), len(s.Addrs))
-	case !(s.Former >= 0 && s.Former <= maxRate):
-		return fmt.Errorf("recover: %v calls a second", s.Former)
-	case s.Alive < 0 || s.Alive > maxMembers:
-		return fmt.Errorf("recover: a fleet of %d", s.Alive)
+	case len(s.List) != len(s.Addrs) || len(s.List) > maxWorkers:
+		return fmt.Errorf("recover: %d workers with %d addresses, want as many of each and at most %d", len(s.List), len(s.Addrs), maxWorkers)
+	case !(s.FormerRate >= 0 && s.FormerRate <= maxRate):
+		return fmt.Errorf("recover: saved rate of %v calls per second, want 0 to %v", s.FormerRate, maxRate)
+	case s.Alive < 0 || s.Alive > maxGateways:
+		return fmt.Errorf("recover: fleet of %d gateways, want 0 to %d", s.Alive, maxGateways)
 	}
 	for i, h := range s.List {
 		if h.Name == "" || s.Addrs[i] == "" || h.State < decide.Ready || h.State > decide.Gone {
-			return fmt.Errorf("recover: worker %q at %q", h.Name, s.Addrs[i])
+			return fmt.Errorf("recover: worker %q at address %q has no name, no address or an invalid state %d", h.Name, s.Addrs[i], h.State)
 		}
 	}
-	if err := s.Marks.Check(); err != nil {
+	if err := s.BanRecords.Check(); err != nil {
 		return err
 	}
 	return s.Roster.Check()
 }
 
-// Limits are the settings that trust depends on.
-type Limits struct {
+// Dimensions are the numbers of classes and tenants in the settings. A module's memory made with others is not used.
+type Dimensions struct {
 	Classes, Tenants int
 }
 
-// Trusted makes of a saved state what the gateway begins with at now. The state is changed: each time in it becomes one of
-// today's clock, and what is not believed is gone. It returns the verdicts that it followed.
-func (s *Saved) Trusted(now Stamp, l Limits) []Verdict {
+// Restore changes a saved state to what the gateway begins with at now: its times are moved to the present clock, and what is
+// not trusted is removed. It returns the verdicts that it applied.
+func (s *Saved) Restore(now Stamp, settings Dimensions) []Verdict {
 	age, known := s.At.Age(now)
 	if m := s.Module; m != nil {
-		if len(m.Classes) != l.Classes || len(m.HeldDeficit) != max(1, l.Tenants) { // of other settings
+		if len(m.Classes) != settings.Classes || len(m.HeldDeficit) != max(1, settings.Tenants) { // made with other settings
 			s.Module = nil
 		} else if known {
-			shift(m, now.Wall-age-s.At.Wall, now.Wall)
+			shiftTimes(m, now.Wall-age-s.At.Wall, now.Wall)
 		} else {
-			doubt(m, now.Wall)
+			resetToSafe(m, now.Wall)
 		}
 	}
 	if m := s.Module; m != nil {
-		m.Lateness, m.OverdueShare, m.HedgeTokens = 0, 0, 0 // of calls that have long ended
-		m.ServedRate, m.ServedAt = s.Former, now.Wall
-		if known && age > rateAge {
+		m.Lateness, m.OverdueShare, m.HedgeTokens = 0, 0, 0 // the calls that these describe ended long ago
+		m.ServedRate, m.ServedAt = s.FormerRate, now.Wall
+		if known && age > maxRateAge {
 			m.ServedRate = 0
 		}
 	}
@@ -160,16 +160,17 @@
 	return Verdicts(known)
 }
 
-// shift moves every time of a memory by so much, and none past now.
-func shift(m *decide.Snapshot, by, now time.Duration) {
-	move := func(times ...*time.Duration) {
+// shiftTimes adds by to every time of a memory. Zero, which means no time, stays. Times that
+// can only be in the past are limited to now.
+func shiftTimes(m *decide.Snapshot, by, now time.Duration) {
+	shiftPast := func(times ...*time.Duration) {
 		for _, t := range times {
 			if *t != 0 {
 				*t = min(now, max(0, *t+by))
 			}
 		}
 	}
-	ahead := func(t *time.Duration) { // may lie in the future, or be a sign as well (below 0)
+	shiftAny := func(t *time.Duration) { // the time may be in the future, and may be negated as a flag
 		switch {
 		case *t > 0:
 			*t = max(0, *t+by)
@@ -177,38 +178,38 @@
 			*t = min(0, *t-by)
 		}
 	}
-	all := func(times []time.Duration) {
+	shiftAllPast := func(times []time.Duration) {
 		for i := range times {
-			move(&times[i])
+			shiftPast(&times[i])
 		}
 	}
-	all(m.RefilledAt)
-	all(m.Arrivals)
-	all(m.Orders)
-	move(&m.ServedAt, &m.CalledAt)
+	shiftAllPast(m.RefilledAt)
+	shiftAllPast(m.Arrivals)
+	shiftAllPast(m.Orders)
+	shiftPast(&m.ServedAt, &m.CalledAt)
 	for i := range m.Workers {
 		w := &m.Workers[i]
-		all(w.ColdSends)
-		move(&w.LossAt, &w.ShrunkAt, &w.FailedAt)
-		ahead(&w.FullUntil)
+		shiftAllPast(w.ColdSends)
+		shiftPast(&w.LossAt, &w.ShrunkAt, &w.FailedAt)
+		shiftAny(&w.FullUntil)
 		for k := range w.EjectedUntil {
-			ahead(&w.EjectedUntil[k])
+			shiftAny(&w.EjectedUntil[k])
 		}
 	}
 	for i := range m.Functions {
 		f := &m.Functions[i]
-		move(&f.UsedAt)
+		shiftPast(&f.UsedAt)
 		for k := range f.Placements {
 			p := &f.Placements[k]
-			move(&p.SentAt, &p.ConfirmedAt)
-			ahead(&p.OrderEnd)
+			shiftPast(&p.SentAt, &p.ConfirmedAt)
+			shiftAny(&p.OrderEnd)
 		}
 	}
 }
 
-// doubt makes of a memory of unknown age one that is safe at any: guards count as spent just now, and no copy is known to
-// stand.
-func doubt(m *decide.Snapshot, now time.Duration) {
+// resetToSafe changes a memory of unknown age to one that is safe at any age: load orders, sends and other limited uses count as
+// made just now, and no copy is known to be loaded.
+func resetToSafe(m *decide.Snapshot, now time.Duration) {
 	for i := range m.Orders {
 		m.Orders[i] = now
 	}
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -29,14 +29,14 @@
 	host          *Host
 	gateway       Gateway
 	settings      *Settings
-	limits        recover.Limits
+	limits        recover.Dimensions
 	classWorth    []float64    // indexed by class
 	stateFileBans []roster.Ban // bans from the gateway's state file
 
-	phases     *recover.Phases
+	phases     *recover.PhaseTracker
 	saved      *recover.Saved
-	bans       recover.Checkpoints // bans and ended bans, by worker
-	peerState  *recover.Agreed
+	bans       recover.BanRecords // bans and ended bans, by worker
+	peerState  *recover.PeerState
 	admission  *recover.Admission
 	formerRate float64 // calls a second that were served before the start; updated in full service
 	tookOver   bool    // this process has taken over from one that served
@@ -52,10 +52,10 @@
 
 // NewRecovery returns the part. classWorth is the worth of each class. stateFileBans are the bans of the gateway's state file;
 // bans that the fleet knows take precedence over them.
-func NewRecovery(h *Host, gateway Gateway, settings *Settings, limits recover.Limits, classWorth []float64,
+func NewRecovery(h *Host, gateway Gateway, settings *Settings, limits recover.Dimensions, classWorth []float64,
 	stateFileBans []roster.Ban) *Recovery {
 	return &Recovery{host: h, gateway: gateway, settings: settings, limits: limits, classWorth: classWorth, stateFileBans: stateFileBans,
-		phases: recover.NewPhases(h.Now()), bans: recover.Checkpoints{}, peerState: recover.NewAgreed(),
+		phases: recover.NewPhaseTracker(h.Now()), bans: recover.BanRecords{}, peerState: recover.NewPeerState(),
 		workers: map[string]core.Member{}, held: map[string]uint64{}}
 }
 
@@ -64,7 +64,7 @@
 
 // Start is called before the node's Start. tookOver means that this process has taken over from one that served.
 func (c *Recovery) Start(tookOver bool) {
-	c.tookOver, c.phases = tookOver, recover.NewPhases(c.host.Now())
+	c.tookOver, c.phases = tookOver, recover.NewPhaseTracker(c.host.Now())
 	c.host.Log().Info("coming back", zap.Stringer("phase", c.phases.Phase()))
 }
 
@@ -87,22 +87,22 @@
 	c.endPhase(recover.Reading, without)
 	if s := c.saved; s != nil {
 		if !TrustAll {
-			for _, v := range s.Trusted(c.host.Stamp(), c.limits) {
+			for _, v := range s.Restore(c.host.Stamp(), c.limits) {
 				c.host.Log().Debug("state", zap.String("kind", string(v.Kind)), zap.Stringer("trust", v.Trust), zap.String("why", v.Why))
 			}
 		}
-		c.bans.Join(s.Marks)
-		c.formerRate = s.Former
+		c.bans.Merge(s.BanRecords)
+		c.formerRate = s.FormerRate
 	}
 }
 
 // Joined starts the gateway with its initial state, now that peers have answered or the time for it is over.
 func (c *Recovery) Joined() {
 	without := ""
-	if c.peerState.Words == 0 {
+	if c.peerState.Answers == 0 {
 		without = "the others' word"
 	}
-	if c.endPhase(recover.Asking, without) {
+	if c.endPhase(recover.Querying, without) {
 		c.beginGateway()
 	}
 }
@@ -122,10 +122,10 @@
 			}
 		}
 	}
-	c.bans.Join(c.peerState.Marks)
+	c.bans.Merge(c.peerState.BanRecords)
 	for _, ban := range slices.Concat(initial.Roster.Bans, c.stateFileBans) { // made before the gateway was a member of the fleet
 		if _, known := c.bans[ban.ID]; !known {
-			c.bans.Say(ban.ID, true, ban.Since)
+			c.bans.Set(ban.ID, true, ban.Since)
 		}
 	}
 	initial.Roster.Bans = nil
@@ -143,13 +143,13 @@
 			initial.Roster.Cold = append(initial.Roster.Cold, roster.ColdWorker{ID: id, Listed: since, Since: at})
 		}
 	}
-	for fn, at := range c.peerState.Stands {
+	for fn, at := range c.peerState.LoadedCopies {
 		for w, t := range at {
 			initial.Copies = append(initial.Copies, LoadedCopy{fn, w, t})
 		}
 	}
-	if c.formerRate == 0 && c.peerState.Words > 0 {
-		c.formerRate = c.peerState.Rate / float64(c.peerState.Words)
+	if c.formerRate == 0 && c.peerState.Answers > 0 {
+		c.formerRate = c.peerState.TotalRate / float64(c.peerState.Answers)
 	}
 	c.begun = true
 	if err := c.gateway.Begin(initial); err != nil {
@@ -167,7 +167,7 @@
 
 // Tick ends phases that have reached their time limit, and updates admission.
 func (c *Recovery) Tick(now time.Duration) {
-	if p := c.phases.Phase(); c.phases.Due(now) {
+	if p := c.phases.Phase(); c.phases.TimedOut(now) {
 		switch p {
 		case recover.Listing:
 			if c.endPhase(p, "the bulletin") {
@@ -178,8 +178,8 @@
 		}
 	}
 	if c.admission != nil && c.phases.Phase() == recover.Admitting {
-		c.admission.Fleet(c.host.View().Alive())
-		c.gateway.AssumeRate(c.formerRate, c.admission.Slots())
+		c.admission.SetGateways(c.host.View().Alive())
+		c.gateway.AssumeRate(c.formerRate, c.admission.MaxFirstLoads())
 		if c.admission.Done(now) {
 			c.endPhase(recover.Admitting, "")
 		}
@@ -194,7 +194,7 @@
 // "" if nothing is missing.
 func (c *Recovery) endPhase(p recover.Phase, without string) bool {
 	before := c.phases.Since()
-	if !c.phases.Pass(c.host.Now(), p, without) {
+	if !c.phases.Complete(c.host.Now(), p, without) {
 		return false
 	}
 	fields := []zap.Field{zap.Stringer("phase", c.phases.Phase()), zap.Duration("after", c.host.Now()-before)}
@@ -215,13 +215,13 @@
 
 // Progress returns the present phase in words, and what the gateway has to do without.
 func (c *Recovery) Progress() (phase string, without []string) {
-	return c.phases.Phase().String(), c.phases.Poorer()
+	return c.phases.Phase().String(), c.phases.Missing()
 }
 
 // Metrics reports the progress of recovery.
 func (c *Recovery) Metrics(report func(name string, value int)) {
 	report("phase", int(c.phases.Phase()))
-	report("poorer", len(c.phases.Poorer()))
+	report("poorer", len(c.phases.Missing()))
 	report("held", len(c.held))
 	report("unsaid", c.unsent)
 }
@@ -239,8 +239,8 @@
 	if c.phases.Phase() == recover.Full {
 		c.formerRate = max(memory.Rate(c.host.Now()), c.formerRate*formerRateDecay)
 	}
-	saved := &recover.Saved{At: c.host.Stamp(), Event: c.gateway.LastEvent(), Roster: c.gateway.Saved(), Marks: maps.Clone(c.bans),
-		Module: memory, Former: c.formerRate, Alive: c.host.View().Alive()}
+	saved := &recover.Saved{At: c.host.Stamp(), Event: c.gateway.LastEvent(), Roster: c.gateway.Saved(), BanRecords: maps.Clone(c.bans),
+		Module: memory, FormerRate: c.formerRate, Alive: c.host.View().Alive()}
 	for _, name := range slices.Sorted(maps.Keys(c.workers)) {
 		saved.List, saved.Addrs = append(saved.List, c.workers[name].Host), append(saved.Addrs, c.workers[name].Addr)
 	}
--- a/internal/fleet/replog/kinds.go
+++ b/internal/fleet/replog/kinds.go
@@ -89,24 +89,26 @@
 		return s.thaw(freeze.Config, s.hallsOf([]change.Thing{change.Of(change.Gateway, b.Name)}), e)
 	}),
 	"spans": of(func(s *State, _ change.Context, _ *Entry, b *SpansBody) error {
-		s.Freeze.Renew(b.Name, b.Spans, s.Clock().At)
+		s.Freeze.RenewSpans(b.Name, b.Spans, s.Clock().At)
 		return nil
 	}),
 	"except": of(func(s *State, c change.Context, e *Entry, b *ExceptBody) error {
 		b.Exception.ID, b.Exception.By[0] = c.Index, e.By
-		return s.Freeze.Except(&b.Exception, s.Clock())
+		return s.Freeze.RequestException(&b.Exception, s.Clock())
+	}),
+	"second": of(func(s *State, _ change.Context, e *Entry, b *SecondBody) error {
+		return s.Freeze.ApproveException(b.ID, e.By)
 	}),
-	"second": of(func(s *State, _ change.Context, e *Entry, b *SecondBody) error { return s.Freeze.Second(b.ID, e.By) }),
 	"lift": of(func(s *State, _ change.Context, e *Entry, b *EndBody) error {
-		return s.Freeze.End(b.Name, b.At, e.Except, s.Clock())
+		return s.Freeze.EndPeriod(b.Name, b.At, e.Except, s.Clock())
 	}),
 	"restrict":   of(restrict),
 	"unrestrict": of(func(s *State, c change.Context, _ *Entry, b *NameBody) error { return s.Site.Lift(b.Name, c.Index) }).forbidden(freeze.Restrictions),
-	"widen":      of(func(s *State, _ change.Context, _ *Entry, b *NameBody) error { return s.Site.Widen(b.Name) }).forbidden(freeze.Restrictions),
+	"widen":      of(func(s *State, _ change.Context, _ *Entry, b *NameBody) error { return s.Site.ApplyLoosening(b.Name) }).forbidden(freeze.Restrictions),
 	"lose": of(func(s *State, _ change.Context, e *Entry, b *NameBody) error {
-		return s.hall(b.Name, func(h string) error { return s.Site.Lose(h, e.By != "") })
+		return s.hall(b.Name, func(h string) error { return s.Site.MarkDown(h, e.By != "") })
 	}),
-	"back": of(func(s *State, _ change.Context, _ *Entry, b *NameBody) error { return s.hall(b.Name, s.Site.Back) }),
+	"back": of(func(s *State, _ change.Context, _ *Entry, b *NameBody) error { return s.hall(b.Name, s.Site.MarkUp) }),
 	"open": of(func(s *State, _ change.Context, _ *Entry, b *NameBody) error { return s.hall(b.Name, s.Site.Open) }).forbidden(freeze.Restrictions),
 }
 
@@ -139,7 +141,7 @@
 	}
 	need := time.Duration(int64(len(r.Batches))*r.ProveMs+int64(len(r.From))*stepUsual) * time.Millisecond
 	for _, p := range s.Freeze.Periods {
-		if next, ok := p.Next(s.Clock().At); ok && p.Covers(freeze.Releases, nil) && next.Sub(s.Clock().At)-s.Clock().Bound < need {
+		if next, ok := p.NextStart(s.Clock().At); ok && p.Covers(freeze.Releases, nil) && next.Sub(s.Clock().At)-s.Clock().Bound < need {
 			s.Change.Releases = s.Change.Releases[:len(s.Change.Releases)-1]
 			return fmt.Errorf("it takes about %v, and %s begins in %v", need.Round(time.Second), p.Name, next.Sub(s.Clock().At).Round(time.Second))
 		}
@@ -172,5 +174,5 @@
 	if !safeguard.Enabled("freeze") {
 		return nil
 	}
-	return s.Freeze.Take(k, halls, e.Except, s.Clock())
+	return s.Freeze.Authorize(k, halls, e.Except, s.Clock())
 }
--- a/internal/fleet/replog/play_test.go
+++ b/internal/fleet/replog/play_test.go
@@ -49,7 +49,7 @@
 		seats = append(seats, Voter{ID: m.disk.ID, Name: m.name, Hall: fmt.Sprint("h", i)})
 	}
 	for _, m := range n.all {
-		w, err := Found(NewState(site.Known{Halls: []string{"h0"}}, DefaultRules, change.Defaults), seats)
+		w, err := Found(NewState(site.KnownNames{Halls: []string{"h0"}}, DefaultRules, change.Defaults), seats)
 		if err != nil {
 			panic(err)
 		}
--- a/internal/fleet/replog/state.go
+++ b/internal/fleet/replog/state.go
@@ -44,7 +44,7 @@
 	At     int64  // its time, Unix ms; it never goes back
 	Voters []Voter
 	Rules  Rules
-	Names  site.Known // what restrictions may name
+	Names  site.KnownNames // what restrictions may name
 	Said   map[string]*Said
 	Change *change.State
 	Freeze *freeze.State
@@ -65,7 +65,7 @@
 )
 
 // NewState is the state before the first entry.
-func NewState(names site.Known, rules Rules, limits change.Limits) *State {
+func NewState(names site.KnownNames, rules Rules, limits change.Limits) *State {
 	return &State{Level: Level, Rules: rules, Names: names, Said: map[string]*Said{}, Change: change.NewState(limits), Freeze: &freeze.State{},
 		Site: &site.State{}}
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -21,8 +21,8 @@
 
 // report is what this part sends to other gateways without a request: changed bans, or functions found to be loaded.
 type report struct {
-	Bans      recover.Checkpoints `msgpack:"Marks"`
-	Functions []string            `msgpack:"Stands"` // functions that were found to be loaded
+	Bans      recover.BanRecords `msgpack:"Marks"`
+	Functions []string           `msgpack:"Stands"` // functions that were found to be loaded
 }
 
 // Check returns an error if there are too many functions, or a ban is invalid.
@@ -35,7 +35,7 @@
 
 // LocalState returns the state that this gateway sends to others.
 func (c *Recovery) LocalState() []byte {
-	answer := &recover.Answer{Marks: c.bans, Started: map[string]int64{}, Stands: map[string][]recover.Copy{}, Rate: c.formerRate,
+	answer := &recover.Answer{BanRecords: c.bans, Started: map[string]int64{}, LoadedCopies: map[string][]recover.Copy{}, Rate: c.formerRate,
 		Full: c.phases.Phase() == recover.Full}
 	if c.begun {
 		answer.Event = c.gateway.LastEvent()
@@ -49,7 +49,7 @@
 			}
 		}
 		for _, s := range c.copies {
-			answer.Stands[s.Function] = append(answer.Stands[s.Function],
+			answer.LoadedCopies[s.Function] = append(answer.LoadedCopies[s.Function],
 				recover.Copy{Worker: s.Worker, Age: max(0, (now - s.ProvenAt).Milliseconds())})
 		}
 	}
@@ -75,7 +75,7 @@
 	c.applyBans(message.Bans)
 	if c.admission != nil {
 		for _, fn := range message.Functions {
-			c.admission.Stands(fn)
+			c.admission.MarkLoaded(fn)
 		}
 	}
 }
@@ -88,15 +88,15 @@
 		return
 	}
 	if c.admission != nil {
-		for fn := range answer.Stands {
-			c.admission.Stands(fn)
+		for fn := range answer.LoadedCopies {
+			c.admission.MarkLoaded(fn)
 		}
 	}
 	if c.begun { // from now on the module itself observes copies and worker starts
-		answer.Stands, answer.Started = nil, nil
+		answer.LoadedCopies, answer.Started = nil, nil
 	}
 	c.peerState.Add(&answer, c.host.Now())
-	c.applyBans(answer.Marks)
+	c.applyBans(answer.BanRecords)
 	c.updateHeld()
 }
 
@@ -118,9 +118,9 @@
 	if k, known := c.bans[id]; known && k.Banned == banned {
 		return
 	}
-	k := c.bans.Say(id, banned, since)
+	k := c.bans.Set(id, banned, since)
 	c.host.SaveSoon()
-	b, err := msgpack.Marshal(&report{Bans: recover.Checkpoints{id: k}})
+	b, err := msgpack.Marshal(&report{Bans: recover.BanRecords{id: k}})
 	if err != nil {
 		c.unsent++
 		return
@@ -131,8 +131,8 @@
 }
 
 // applyBans applies bans, and ends of bans, from other gateways.
-func (c *Recovery) applyBans(m recover.Checkpoints) {
-	newer, refused := c.bans.Join(m)
+func (c *Recovery) applyBans(m recover.BanRecords) {
+	newer, refused := c.bans.Merge(m)
 	if refused > 0 {
 		c.unsent += refused
 		c.host.Log().Warn("bans of other gateways exceed the limit", zap.Int("refused", refused))
@@ -175,7 +175,7 @@
 	if !c.begun {
 		return
 	}
-	held := c.peerState.Held(c.gateway.LastEvent())
+	held := c.peerState.NewerDrains(c.gateway.LastEvent())
 	if maps.Equal(held, c.held) {
 		return
 	}
--- a/internal/fleet/safeguard/safeguard.go
+++ b/internal/fleet/safeguard/safeguard.go
@@ -1,8 +1,8 @@
-// Package safeguard lets tests take a guard out, to show that something breaks without it.
+// Package safeguard lets tests disable a single safeguard of the fleet code, to show what fails without it.
 package safeguard
 
-// Disabled names the guard that is out. Nothing but tests sets it, before anything runs.
+// Disabled is the name of the disabled safeguard, "" for none. Only tests set it, before any other code runs.
 var Disabled string
 
-// Enabled reports whether a guard is in its place.
+// Enabled reports whether the safeguard of that name is in effect.
 func Enabled(name string) bool { return Disabled != name }
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -1,5 +1,5 @@
-// Package site decides at which sites a call may run: restrictions that name them, sessions that stay at one of them, and
-// the epochs in which a site counts as up for all gateways alike. It is pure. A site is a hall, by its name.
+// Package site decides at which sites a call may run. It implements restrictions of calls to sites, sessions that stay at one site,
+// and epochs, in each of which all gateways regard the same sites as up. It is pure. A site is a hall, given by its name.
 package site
 
 import (
@@ -8,63 +8,66 @@
 	"slices"
 )
 
-// State is what is agreed. It is changed by the log's entries alone.
+// State is what the gateways have agreed on. Only entries of the replicated log change it.
 type State struct {
-	Rules []*Restriction
-	Epoch uint64   // grows with each change
-	Down  []string // sites that are agreed to be lost, or closed by hand
-	Hand  []string // of these, those that an operator has to open
+	Rules            []*Restriction
+	Epoch            uint64   // increases with each change that can move calls or sessions
+	Down             []string // sites that are agreed to be lost, or that an operator has closed
+	ClosedByOperator []string `json:"Hand"` // those of Down that only an operator can open again
 }
 
-// meet are the names in both lists; nil is all.
-func meet(a, b []string) []string {
+// intersect returns the names that are in both a and b. If a is nil it stands for all names.
+func intersect(a, b []string) []string {
 	if a == nil {
 		return b
 	}
 	return slices.DeleteFunc(slices.Clone(a), func(n string) bool { return !slices.Contains(b, n) })
 }
 
-func without(a, b []string) []string {
+// subtract returns the names in a that are not in b.
+func subtract(a, b []string) []string {
 	return slices.DeleteFunc(slices.Clone(a), func(n string) bool { return slices.Contains(b, n) })
 }
 
-// Declare adds a restriction, or gives one that stands other sites: what it allows less holds at once, what it allows more
-// once Widen is told that all have heard.
+// Declare adds a restriction, or changes the sites of an existing one. Sites that are no longer allowed are removed at once. Sites
+// that are newly allowed are added by ApplyLoosening, when all serving gateways have received the change.
 func (s *State) Declare(r *Restriction) error {
-	i := slices.IndexFunc(s.Rules, func(o *Restriction) bool { return o.Name == r.Name })
+	i := slices.IndexFunc(s.Rules, func(other *Restriction) bool { return other.Name == r.Name })
 	if i < 0 {
 		if len(s.Rules) >= maxRules {
 			return fmt.Errorf("%d restrictions are declared already", maxRules)
 		}
-		if err := s.together(r); err != nil {
+		if err := s.checkCompatible(r); err != nil {
 			return err
 		}
-		r.Pins = r.Sites
+		r.PinSites = r.Sites
 		s.Rules = append(s.Rules, r)
-		return s.settle()
+		return s.beginEpoch()
 	}
 	old := s.Rules[i]
-	if !slices.Equal(old.Tenants, r.Tenants) || !slices.Equal(old.Classes, r.Classes) || !slices.Equal(old.Functions, r.Functions) || old.Pin != r.Pin {
+	if !slices.Equal(old.Tenants, r.Tenants) || !slices.Equal(old.Classes, r.Classes) ||
+		!slices.Equal(old.Functions, r.Functions) || old.Pin != r.Pin {
 		return fmt.Errorf("%s is for other calls: declare another restriction, then take this one back", r.Name)
 	}
-	strict := meet(old.Sites, r.Sites)
+	strict := intersect(old.Sites, r.Sites)
 	if len(strict) == 0 {
 		return fmt.Errorf("%s allows %v now: nothing would be allowed until all have heard; allow both first", r.Name, old.Sites)
 	}
-	r.Wider = nil
+	r.PendingSites = nil
 	if len(strict) < len(r.Sites) {
-		r.Wider = r.Sites
+		r.PendingSites = r.Sites
 	}
-	r.Sites, r.Pins = strict, meet(old.Pins, strict)
+	r.Sites, r.PinSites = strict, intersect(old.PinSites, strict)
 	s.Rules[i] = r
-	if err := s.together(r); err != nil {
+	if err := s.checkCompatible(r); err != nil {
 		s.Rules[i] = old
 		return err
 	}
-	return s.settle()
+	return s.beginEpoch()
 }
 
-// Lift takes a restriction back, once Widen is told that all have heard: of the entry that says so.
+// Lift marks a restriction as lifted. ApplyLoosening removes it, when all serving gateways have received the log entry whose index
+// is given.
 func (s *State) Lift(name string, entry uint64) error {
 	for _, r := range s.Rules {
 		if r.Name == name {
@@ -75,113 +78,115 @@
 	return fmt.Errorf("no restriction %s is declared", name)
 }
 
-// Loosening are the restrictions that wait until all have heard.
-func (s *State) Loosening() (out []*Restriction) {
+// PendingLoosening returns the restrictions that are to be loosened or removed once all serving gateways have received that.
+func (s *State) PendingLoosening() (out []*Restriction) {
 	for _, r := range s.Rules {
-		if r.Lifted || r.Wider != nil {
+		if r.Lifted || r.PendingSites != nil {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// Widen says that all that serve have heard what a restriction is to be.
-func (s *State) Widen(name string) error {
-	i := slices.IndexFunc(s.Rules, func(o *Restriction) bool { return o.Name == name })
+// ApplyLoosening removes a lifted restriction, or adds the pending sites of a changed one. It is called when all serving gateways
+// have received the change.
+func (s *State) ApplyLoosening(name string) error {
+	i := slices.IndexFunc(s.Rules, func(r *Restriction) bool { return r.Name == name })
 	switch {
 	case i < 0:
 		return fmt.Errorf("no restriction %s is declared", name)
 	case s.Rules[i].Lifted:
 		s.Rules = slices.Delete(s.Rules, i, i+1)
-	case s.Rules[i].Wider != nil:
-		s.Rules[i].Sites, s.Rules[i].Wider = s.Rules[i].Wider, nil
+	case s.Rules[i].PendingSites != nil:
+		s.Rules[i].Sites, s.Rules[i].PendingSites = s.Rules[i].PendingSites, nil
 	default:
 		return nil
 	}
-	return s.settle()
+	return s.beginEpoch()
 }
 
-// Lose says that a site is agreed to be lost, or closed by hand: its sessions move, once and for all gateways.
-func (s *State) Lose(hall string, hand bool) error {
-	if hand && slices.Contains(s.Down, hall) && !slices.Contains(s.Hand, hall) {
-		s.Hand = append(s.Hand, hall)
+// MarkDown records that a site is agreed to be lost, or that an operator has closed it. Its sessions move once, at all gateways
+// alike.
+func (s *State) MarkDown(hall string, byOperator bool) error {
+	if byOperator && slices.Contains(s.Down, hall) && !slices.Contains(s.ClosedByOperator, hall) {
+		s.ClosedByOperator = append(s.ClosedByOperator, hall)
 		return nil
 	}
 	if slices.Contains(s.Down, hall) {
 		return fmt.Errorf("%s is down already", hall)
 	}
-	if s.Down = append(s.Down, hall); hand {
-		s.Hand = append(s.Hand, hall)
+	if s.Down = append(s.Down, hall); byOperator {
+		s.ClosedByOperator = append(s.ClosedByOperator, hall)
 	}
-	return s.settle()
+	return s.beginEpoch()
 }
 
-// Back says that a site serves again. Sessions stay where they are, but for those that have no other site.
-func (s *State) Back(hall string) error {
+// MarkUp records that a lost site serves again. Sessions stay where they are, except for those that have no other site.
+func (s *State) MarkUp(hall string) error {
 	if !slices.Contains(s.Down, hall) {
 		return fmt.Errorf("%s is not down", hall)
 	}
-	if slices.Contains(s.Hand, hall) {
+	if slices.Contains(s.ClosedByOperator, hall) {
 		return fmt.Errorf("%s was closed by hand: an operator opens it", hall)
 	}
-	s.Down = without(s.Down, []string{hall})
-	return s.settle()
+	s.Down = subtract(s.Down, []string{hall})
+	return s.beginEpoch()
 }
 
-// Open has a site take sessions of all restrictions that allow it, also those that it had before it was lost or closed. One
-// that is lost all the same is found to be so again.
+// Open lets a site take sessions of all restrictions that allow it, including the sessions that it had before it was lost or closed.
+// A site that is in fact still lost has to be detected and marked down again.
 func (s *State) Open(hall string) error {
 	opened := slices.Contains(s.Down, hall)
-	s.Hand, s.Down = without(s.Hand, []string{hall}), without(s.Down, []string{hall})
+	s.ClosedByOperator, s.Down = subtract(s.ClosedByOperator, []string{hall}), subtract(s.Down, []string{hall})
 	for _, r := range s.Rules {
-		if r.Pin && slices.Contains(r.Sites, hall) && !slices.Contains(r.Pins, hall) {
-			r.Pins, opened = append(slices.Clone(r.Pins), hall), true
+		if r.Pin && slices.Contains(r.Sites, hall) && !slices.Contains(r.PinSites, hall) {
+			r.PinSites, opened = append(slices.Clone(r.PinSites), hall), true
 		}
 	}
 	if !opened {
 		return fmt.Errorf("%s is open to all sessions that may be there", hall)
 	}
-	return s.settle()
+	return s.beginEpoch()
 }
 
-// settle begins a new epoch: sessions leave sites that are down, and those of a restriction that has no other go to what
-// is up.
-func (s *State) settle() error {
+// beginEpoch begins a new epoch. Sites that are down take no sessions from now on. If that leaves a restriction no site for its
+// sessions, all its sites that are up take them.
+func (s *State) beginEpoch() error {
 	s.Epoch++
 	for _, r := range s.Rules {
-		if r.Pins = without(r.Pins, s.Down); len(r.Pins) == 0 {
-			r.Pins = without(r.Sites, s.Down)
+		if r.PinSites = subtract(r.PinSites, s.Down); len(r.PinSites) == 0 {
+			r.PinSites = subtract(r.Sites, s.Down)
 		}
 	}
 	return nil
 }
 
-// Place is where a call may run.
-type Place struct {
+// Placement states where a call may run.
+type Placement struct {
 	Restricted bool
-	Sites      []string // none where Restricted: nowhere at present
-	Pinned     bool     // Sites is the one that its session is at
+	Sites      []string // empty although Restricted: the call may run nowhere at present
+	Pinned     bool     // Sites holds only the site of its session
 	Epoch      uint64
 }
 
-// Place returns where a call may run: inside all restrictions that are for it, own ones of the gateway among them.
-func (s *State) Place(c Call, own []*Restriction) Place {
-	p := Place{Epoch: s.Epoch}
+// Place returns where a call may run, by all restrictions that match it. own are further restrictions of this gateway.
+func (s *State) Place(c Call, own []*Restriction) Placement {
+	p := Placement{Epoch: s.Epoch}
 	var pins []string
 	for _, r := range slices.Concat(s.Rules, own) {
 		if !r.Matches(c) {
 			continue
 		}
-		p.Restricted, p.Sites = true, meet(p.Sites, r.Sites)
-		if p.Pinned = p.Pinned || r.Pin; r.Pin && r.Pins != nil {
-			pins = meet(pins, r.Pins)
+		p.Restricted, p.Sites = true, intersect(p.Sites, r.Sites)
+		if p.Pinned = p.Pinned || r.Pin; r.Pin && r.PinSites != nil {
+			pins = intersect(pins, r.PinSites)
 		}
 	}
 	if p.Pinned = p.Pinned && c.Session != ""; !p.Pinned {
 		return p
 	}
-	up := without(p.Sites, s.Down)
-	if at := Rendezvous(c.Session, meet(pins, up)); at != "" {
+	up := subtract(p.Sites, s.Down)
+	if at := Rendezvous(c.Session, intersect(pins, up)); at != "" {
 		p.Sites = []string{at}
 	} else if at := Rendezvous(c.Session, up); at != "" {
 		p.Sites = []string{at}
@@ -191,20 +196,20 @@
 	return p
 }
 
-// Rendezvous is the site of a session by highest random weight (Thaler and Ravishankar, 1998): all choose alike, and the
-// loss of one moves its own sessions alone. It is "" where there is none.
+// Rendezvous returns the site of a session by highest random weight hashing (Thaler and Ravishankar, 1998), "" if sites is empty. All
+// gateways choose the same site, and the loss of a site moves only its own sessions.
 func Rendezvous(session string, sites []string) (best string) {
-	var most uint64
-	for _, s := range sites {
+	var highest uint64
+	for _, site := range sites {
 		h := fnv.New64a()
-		h.Write([]byte(s))
+		h.Write([]byte(site))
 		h.Write([]byte{0})
 		h.Write([]byte(session))
-		x := h.Sum64()
-		x = (x ^ x>>30) * 0xbf58476d1ce4e5b9 // splitmix64's end: fnv alone leaves the high bits of short names alike
-		x = (x ^ x>>27) * 0x94d049bb133111eb
-		if x ^= x >> 31; best == "" || x > most || x == most && s < best {
-			best, most = s, x
+		weight := h.Sum64()
+		weight = (weight ^ weight>>30) * 0xbf58476d1ce4e5b9 // finalizer of splitmix64: FNV alone gives similar high bits for short names
+		weight = (weight ^ weight>>27) * 0x94d049bb133111eb
+		if weight ^= weight >> 31; best == "" || weight > highest || weight == highest && site < best {
+			best, highest = site, weight
 		}
 	}
 	return best
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -73,7 +73,7 @@
 	h.node.UseNetwork(&view{h.run.network, h.host})
 	set := Site()
 	h.node.Add(func(host *fleet.Host) fleet.Part {
-		p := fleet.NewRecovery(host, idle{}, s, recover.Limits{Classes: len(set.Classes), Tenants: len(set.Tenants)}, []float64{1, 3}, nil)
+		p := fleet.NewRecovery(host, idle{}, s, recover.Dimensions{Classes: len(set.Classes), Tenants: len(set.Tenants)}, []float64{1, 3}, nil)
 		p.Start(false)
 		return p
 	})
--- a/internal/lifecycle/agreement.go
+++ b/internal/lifecycle/agreement.go
@@ -62,7 +62,7 @@
 // checkRestrictions returns an error if a restriction of the fleet file names a tenant, class or hall that the settings lack.
 func checkRestrictions(conf *Config) error {
 	for _, r := range configuredRestrictions(conf.Fleet) {
-		if err := r.Check(site.Known{Tenants: conf.Site.Tenants, Classes: conf.Site.Classes, Halls: conf.Site.Zones}); err != nil {
+		if err := r.Check(site.KnownNames{Tenants: conf.Site.Tenants, Classes: conf.Site.Classes, Halls: conf.Site.Zones}); err != nil {
 			return err
 		}
 	}
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -32,7 +32,7 @@
 	for _, k := range decideConf.Classes {
 		worth = append(worth, k.Worth)
 	}
-	limits := recover.Limits{Classes: len(decideConf.Classes), Tenants: len(decideConf.Tenants)}
+	limits := recover.Dimensions{Classes: len(decideConf.Classes), Tenants: len(decideConf.Tenants)}
 	g.node = fleet.New(g.loop, &settings, conf.Name, decideConf.Zone, g.log.Named("fleet"))
 	g.node.Add(func(h *fleet.Host) fleet.Part {
 		g.recovery = fleet.NewRecovery(h, (*fleetGateway)(g), &settings, limits, worth, savedBans)
--- a/tools/comeback/main.go
+++ b/tools/comeback/main.go
@@ -49,7 +49,7 @@
 func play(gateways int, seed uint64) (until time.Duration, news float64, most int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var all []*recover.Admission
-	share := recover.Share{Worth: []float64{1, 3, 5}, Former: perSecond, Loads: int(storeFor * float64(gateways) / 2), Gateways: gateways}
+	share := recover.AdmissionConfig{ClassWorth: []float64{1, 3, 5}, FormerRate: perSecond, FirstLoads: int(storeFor * float64(gateways) / 2), Gateways: gateways}
 	for range gateways {
 		all = append(all, recover.NewAdmission(share, coldFrom, 0))
 	}
@@ -73,7 +73,7 @@
 		for len(told) > 0 && told[0].at <= now {
 			e := heap.Pop(&told).(event)
 			for _, a := range all {
-				a.Stands(names[e.fn])
+				a.MarkLoaded(names[e.fn])
 			}
 		}
 		// What cold workers bear of the former calls: the rule of the module, 0.8 of 2.5 times their present share.
@@ -93,7 +93,7 @@
 					most = max(most, len(under))
 				}
 				if stands[fn] {
-					a.Ended(names[fn], ok)
+					a.RecordOutcome(names[fn], ok)
 				}
 				if ok {
 					served[half]++
