--- a/internal/fleet/agreement/agent.go
+++ b/internal/fleet/agreement/agent.go
@@ -1,6 +1,7 @@
-// Package agreement is a gateway's part in what its fleet agrees: it holds the log where it votes and follows it where it does
-// not, reports what it sees to the one that leads, leads where it is that one, and carries out what concerns this gateway.
-// What is decided is in agree, change, freeze and site. It runs on the turn and waits for nothing.
+// Package agreement is a gateway's part in the agreement of its fleet. If this gateway votes, it replicates the log;
+// otherwise it follows a voter. It reports its observations to the leader, does the leader's work if it is the leader,
+// and carries out the agreed decisions that concern this gateway. Packages replog, change, freeze and site make the
+// decisions themselves. The part runs on the event loop and never blocks.
 package agreement
 
 import (
@@ -21,215 +22,217 @@
 
 // Options are the settings of the agreement, of this gateway and of its site.
 type Options struct {
-	Name    string
-	Hall    string
-	Halls   []string // by number, as lists of workers have them
-	Classes []string
-	Tenants []string
-	First   []string // who votes at first
-	Votes   int      // voters that are wanted
-	Replace time.Duration
-	Lost    time.Duration // after so long without a worker that serves a hall is agreed to be lost
-	Limits  change.Limits
-	Rules   replog.Rules
-	ColdFor time.Duration
-	Session string // which field of a call names its session: key, tenant, function
-	Own     []*site.Restriction
-	Version string
-	Config  string // of the file that this gateway began with
+	Name            string
+	Hall            string
+	Halls           []string // indexed by the zone numbers of the worker list
+	Classes         []string
+	Tenants         []string
+	InitialVoters   []string      // voters of the first log, nil if this gateway takes part in no agreement
+	TargetVoters    int           // wanted number of voters
+	ReplaceAfter    time.Duration // time without contact after which a voter is replaced
+	HallLostAfter   time.Duration // time without any serving worker after which a hall is declared lost
+	Limits          change.Limits
+	Rules           replog.Rules
+	ColdFor         time.Duration       // time after a worker's start during which it counts as cold
+	Session         string              // the field of a call that identifies its session: key, tenant or function
+	OwnRestrictions []*site.Restriction // restrictions in this gateway's own configuration file
+	Version         string
+	Config          string // ID of the configuration in force
 }
 
-// Gateway is what the agreement has its gateway do and asks of it. All of it is called on the turn.
+// Gateway is what the agreement needs from its gateway. All methods are called on the event loop.
 type Gateway interface {
-	Drain(why string) // clients are sent away
-	Resume()          // and taken again
-	Ban(id string)    // a worker is left out, by what was agreed
-	CallBack(id string)
-	Serving() bool // clients are told to come
-	Warm() bool    // in full service
-	Avoids(worker string) bool
-	Probe(worker string, answered func())             // asks it whether it answers
-	Copies(worker string) (there, elsewhere []string) // functions that are believed to stand at a worker, and those of them elsewhere too
-	Thawed()                                          // a freeze may be over
-	Take()                                            // the configuration that was kept back is let through
+	Drain(why string)                                 // stops taking clients and sends the present ones away
+	Resume()                                          // takes clients again
+	Ban(id string)                                    // bans a worker, by an agreed permit
+	Unban(id string)                                  // ends such a ban
+	Serving() bool                                    // reports whether clients are admitted
+	Warm() bool                                       // reports whether the gateway is in full service
+	Avoids(worker string) bool                        // reports whether the gateway avoids a worker after failures
+	Probe(worker string, answered func())             // probes a worker and calls answered if it answers
+	Copies(worker string) (there, elsewhere []string) // functions believed to be loaded at a worker, and those of them loaded elsewhere too
+	RecheckFreezes()                                  // called regularly and when a freeze may have ended
+	ApplyPendingConfig()                              // applies the configuration that a freeze has held back
 }
 
-// Agent is the part. It belongs to the turn.
+// Agent is the agreement part of a gateway. It must be used on the event loop only.
 type Agent struct {
 	fleet.Base
-	host *fleet.Host
-	gw   Gateway
-	o    Options
-	log  *zap.Logger
-
-	id       uint64 // of the disk
-	lives    map[string]incarnations
-	claim    *replog.Eligibility
-	mine     *replog.Disk // what this disk holds of the log, until it is known whether it may be used
-	known    map[string]answer
-	group    *replog.Group
-	writing  bool
-	logLo    uint64 // entries of the log that may be on disk
-	logHi    uint64
-	failed   bool          // a log was given up after an error,
-	failedAt time.Duration // then
-	founding bool          // the first entry of an agreement is being written
-	copy     *replog.Follower
-	done     uint64 // the last entry that was acted on,
-	doneEra  uint64 // and its era
-	from     string // the voter that is followed
-	asked    time.Duration
-	heard    time.Duration // when what is known was last known to be current
-	leader   string
-	caught   bool // what is known has been current since this process began
-	begun    time.Duration
-	stopped  bool
-
-	seq      uint64
-	open     map[uint64]*proposal
-	follows  map[string]*follower
-	recent   recent
-	observed observations
-	lead     leader
-	held     holder
-	hashAt   uint64 // the entry that
-	hashed   uint64 // is the state's hash at
-	alarms   int
-	alarmed  time.Duration
-	ticks    int
-	off      time.Duration // this clock from the leader's, as far as is known
-	offAt    time.Duration
-	spanned  time.Duration
+	host    *fleet.Host
+	gateway Gateway
+	options Options
+	log     *zap.Logger
+
+	voterID        uint64                       // identifies the disk; see replog.Voter
+	incarnations   map[string]incarnationRecord // by gateway
+	eligibility    *replog.Eligibility          // not nil while it is undecided whether the stored log may be used
+	storedLog      *replog.Disk                 // the log on disk, until it is known whether it may be used
+	answers        map[string]identityAnswer    // by gateway
+	group          *replog.Group                // nil if this gateway does not replicate the log
+	writing        bool                         // a write of the group is on its way to the disk
+	firstLogIndex  uint64                       // range of entries that may be on disk
+	lastLogIndex   uint64
+	failed         bool             // the log was abandoned after an error
+	failedAt       time.Duration    // time of that error
+	bootstrapping  bool             // the first write of a new log is not on disk yet
+	replica        *replog.Follower // the state as received from other gateways
+	handledIndex   uint64           // the last entry that handleApplied has processed
+	handledEra     uint64           // the era of that entry
+	source         string           // the gateway that this one follows
+	lastFollowAt   time.Duration
+	currentAt      time.Duration // when the known state was last known to be current
+	reportedLeader string        // the leader according to the last message, "" if unknown
+	caughtUp       bool          // the known state has been current at some time since this process started
+	startedAt      time.Duration
+	stopped        bool
+
+	seq            uint64               // sequence number of this process's last proposal
+	pending        map[uint64]*proposal // own proposals that have not been applied, by sequence number
+	followers      map[string]*followerState
+	recent         recentEntries
+	observed       observations
+	lead           leaderState
+	permits        heldPermits
+	hashIndex      uint64 // index of the entry that hashValue belongs to
+	hashValue      uint64 // hash of the state after that entry
+	alarms         int
+	lastAlarmAt    time.Duration
+	ticks          int
+	clockOffset    time.Duration // this gateway's clock minus that of the gateway it follows, 0 if unknown
+	clockOffsetAt  time.Duration
+	spansRenewedAt time.Duration
 }
 
-// New returns the part.
-func New(h *fleet.Host, gw Gateway, o Options) *Agent {
-	a := &Agent{host: h, gw: gw, o: o, log: h.Log().Named("agreed"), lives: map[string]incarnations{}, open: map[uint64]*proposal{}, follows: map[string]*follower{},
-		known: map[string]answer{}}
-	a.copy = replog.NewFollower(nil, a.applied)
+// New returns the agreement part of a gateway.
+func New(host *fleet.Host, gateway Gateway, options Options) *Agent {
+	a := &Agent{host: host, gateway: gateway, options: options, log: host.Log().Named("agreed"), incarnations: map[string]incarnationRecord{},
+		pending: map[uint64]*proposal{}, followers: map[string]*followerState{}, answers: map[string]identityAnswer{}}
+	a.replica = replog.NewFollower(nil, a.handleApplied)
 	a.observed = newObservations()
-	a.lead = newLead()
+	a.lead = newLeaderState()
 	return a
 }
 
-// Name names the part's messages and its entry on disk.
+// Name returns the name of the part's messages and of its record on disk.
 func (a *Agent) Name() string { return "agree" }
 
-// Begin takes what is on disk.
+// Begin restores what is on disk.
 func (a *Agent) Begin(b []byte, late bool) {
-	a.begun = a.host.Now()
-	var s saved
-	if b != nil && msgpack.Unmarshal(b, &s) == nil && len(s.Lives) <= maxLives {
-		a.id = s.ID
-		for name, l := range s.Lives {
-			a.lives[name] = l
+	a.startedAt = a.host.Now()
+	var stored savedState
+	if b != nil && msgpack.Unmarshal(b, &stored) == nil && len(stored.Incarnations) <= maxIncarnations {
+		a.voterID = stored.ID
+		for name, record := range stored.Incarnations {
+			a.incarnations[name] = record
 		}
-		if s.Copy != nil {
-			if err := a.copy.Replace(s.Copy); err != nil {
-				a.log.Error("what was agreed is not known from disk", zap.Error(err))
+		if stored.Replica != nil {
+			if err := a.replica.Replace(stored.Replica); err != nil {
+				a.log.Error("agreed state on disk is not usable", zap.Error(err))
 			}
 		}
 	}
-	if a.mine = diskOf(a.host.StoredEntries()); a.mine != nil {
-		a.id = a.mine.ID
-		for i := range a.mine.Entries {
-			a.span(i)
+	if a.storedLog = readStoredLog(a.host.StoredEntries()); a.storedLog != nil {
+		a.voterID = a.storedLog.ID
+		for i := range a.storedLog.Entries {
+			a.noteLogIndex(i)
 		}
 	}
-	if a.id == 0 {
-		a.id = a.host.Incarnation().Tag | 1<<63 // drawn at random: another disk is another voter
+	if a.voterID == 0 {
+		a.voterID = a.host.Incarnation().Tag | 1<<63 // the tag is random, so that another disk is another voter
 	}
-	if a.mine != nil {
-		g, err := replog.Open(a.o.Name, *a.mine, func(replog.Applied) {})
-		if err != nil || g.State() == nil {
-			a.log.Error("the log on disk is not used: this gateway gives its vote up", zap.Error(err))
-			a.forfeit()
+	if a.storedLog != nil {
+		group, err := replog.Open(a.options.Name, *a.storedLog, func(replog.Applied) {})
+		if err != nil || group.State() == nil {
+			a.log.Error("log on disk is not usable, giving up this gateway's vote", zap.Error(err))
+			a.forfeitVote()
 		} else {
-			a.claim = replog.NewEligibility(a.o.Name, a.host.Incarnation().Number, g.State().Voters)
-			if b, err := g.State().Encode(); err == nil && g.State().Index > a.copy.After() {
-				a.copy.Replace(b)
+			a.eligibility = replog.NewEligibility(a.options.Name, a.host.Incarnation().Number, group.State().Voters)
+			if b, err := group.State().Encode(); err == nil && group.State().Index > a.replica.LastIndex() {
+				a.replica.Replace(b)
 			}
 		}
 	}
 }
 
-// State is what is agreed, as far as this gateway knows; nil if it knows nothing. It is not to be changed.
+// State returns the agreed state as far as this gateway knows it, nil if it knows none. It must not be modified.
 func (a *Agent) State() *replog.State {
 	if a.group == nil || a.group.State() == nil {
-		return a.copy.State
+		return a.replica.State
 	}
-	g := a.group.State()
-	if c := a.copy.State; c != nil && replog.Newer(c.Era, c.Index, g) { // it learns, or was away
-		return c
+	state := a.group.State()
+	if replica := a.replica.State; replica != nil && replog.Newer(replica.Era, replica.Index, state) {
+		return replica // this gateway is a learner or has been partitioned
 	}
-	return g
+	return state
 }
 
-// Adopt takes what another process of this gateway knew, before this one has its place in the fleet.
+// Adopt takes over the state that the previous process of this gateway knew, before this one joins the fleet.
 func (a *Agent) Adopt(state []byte) {
 	if len(state) > 0 {
-		if err := a.copy.Replace(state); err != nil {
-			a.log.Warn("what the process before knew of what is agreed is not used", zap.Error(err))
+		if err := a.replica.Replace(state); err != nil {
+			a.log.Warn("agreed state of the previous process is not usable", zap.Error(err))
 			return
 		}
-		a.caught, a.heard = true, a.host.Now() // it was known a moment ago
+		a.caughtUp, a.currentAt = true, a.host.Now() // the previous process had it a moment ago
 	}
 }
 
-// Age is how long ago what is known was known to be current; false if it never was in this process.
-func (a *Agent) Age() (time.Duration, bool) { return a.host.Now() - a.heard, a.caught }
+// Age returns the time since the known state was last known to be current, and whether it has ever been in this process.
+func (a *Agent) Age() (time.Duration, bool) { return a.host.Now() - a.currentAt, a.caughtUp }
 
-// Configured notes that this gateway goes by another configuration from now on.
-func (a *Agent) Configured(id string) { a.o.Config = id }
+// Configured notes that another configuration is in force at this gateway from now on.
+func (a *Agent) Configured(id string) { a.options.Config = id }
 
-// Caught reports whether what is known has been current since this process began.
-func (a *Agent) Caught() bool { return a.caught }
+// CaughtUp reports whether the known state has been current at some time since this process started.
+func (a *Agent) CaughtUp() bool { return a.caughtUp }
 
-// current notes that what is known was current so long ago.
-func (a *Agent) current(age time.Duration) {
-	if at := a.host.Now() - age; at > a.heard || !a.caught {
-		a.heard = at
+// markCurrent notes that the known state was current the given time ago.
+func (a *Agent) markCurrent(age time.Duration) {
+	if at := a.host.Now() - age; at > a.currentAt || !a.caughtUp {
+		a.currentAt = at
 	}
-	if !a.caught {
-		a.caught = true
-		a.log.Info("what is agreed is known", zap.Uint64("entry", a.State().Index), zap.Duration("after", a.host.Now()-a.begun))
+	if !a.caughtUp {
+		a.caughtUp = true
+		a.log.Info("agreed state is up to date", zap.Uint64("entry", a.State().Index),
+			zap.Duration("after", a.host.Now()-a.startedAt))
 	}
 }
 
-// Tick is the part's pace: each 100 ms.
+// Tick does the part's periodic work. It is called every 100 ms.
 func (a *Agent) Tick(now time.Duration) {
 	if a.stopped {
 		return
 	}
 	a.ticks++
 	if a.group != nil {
-		a.fail(a.group.Tick())
-		if a.group != nil && a.group.Heard() && a.group.State() != nil {
-			a.current(0)
+		a.abandonLog(a.group.Tick())
+		if a.group != nil && a.group.TakeLeaderContact() && a.group.State() != nil {
+			a.markCurrent(0)
 		}
 		a.pump()
 	} else {
-		a.settle(now)
+		a.resolveIdentity(now)
 	}
-	if a.group == nil || a.group.State() == nil || now-a.heard > lonely {
-		a.follow(now)
+	if a.group == nil || a.group.State() == nil || now-a.currentAt > contactTimeout {
+		a.requestUpdates(now)
 	}
-	a.again(now)
+	a.retryAndUpdate(now)
 	if a.ticks%reportTicks == 0 {
-		a.report(now)
+		a.sendReport(now)
 	}
-	a.drive(now)
-	a.hold(now)
+	a.runLeader(now)
+	a.advancePermits(now)
 	if a.ticks%10 == 0 {
-		a.gw.Thawed()
+		a.gateway.RecheckFreezes()
 	}
 }
 
-// MemberChanged takes what has become of another gateway.
+// MemberChanged notes the incarnation of another gateway whose membership has changed.
 func (a *Agent) MemberChanged(e member.Event, what member.Transition) {
-	a.lived(e.Metadata.Name, e.Metadata.Incarnation)
+	a.recordIncarnation(e.Metadata.Name, e.Metadata.Incarnation)
 }
 
-func ready(m core.Member) bool { return m.State == decide.Ready }
+func isReady(m core.Member) bool { return m.State == decide.Ready }
 
-var errNobody = fmt.Errorf("nobody who leads the agreement answers: there may be no majority")
+// errNoLeader is the result of a proposal that was not applied in time.
+var errNoLeader = fmt.Errorf("nobody who leads the agreement answers: there may be no majority")
--- a/internal/fleet/agreement/apply.go
+++ b/internal/fleet/agreement/apply.go
@@ -9,60 +9,61 @@
 	"quillrail/internal/fleet/replog"
 )
 
-// applied is told of every entry that is applied here.
-func (a *Agent) applied(x replog.Applied) {
-	st := a.State()
-	if st.Era != a.doneEra {
-		a.doneEra, a.done = st.Era, 0
+// handleApplied is called for every entry that is applied here, by the replica or by the group.
+func (a *Agent) handleApplied(applied replog.Applied) {
+	state := a.State()
+	if state.Era != a.handledEra {
+		a.handledEra, a.handledIndex = state.Era, 0
 	}
-	if x.Index <= a.done { // by the copy that is followed, and by the log that is held
+	if applied.Index <= a.handledIndex { // the replica and the group both apply it
 		return
 	}
-	a.done = x.Index
-	a.recent.add(x)
-	if x.Whole {
-		a.held.sync(a, st)
+	a.handledIndex = applied.Index
+	a.recent.add(applied)
+	if applied.Snapshot {
+		a.permits.syncBans(a, state)
 		return
 	}
-	if x.Entry == nil {
+	if applied.Entry == nil {
 		return
 	}
-	if x.Err != replog.ErrTwice {
-		a.told(x)
-		a.held.carry(a, x)
+	if applied.Err != replog.ErrDuplicate {
+		a.logApplied(applied)
+		a.permits.handleEntry(a, applied)
 	}
-	a.answer(x)
-	a.pushed()
+	a.completeProposal(applied)
+	a.updateFollowers()
 }
 
-// afterFailure is how long a gateway that gave its log up is not taken in again: its disk may be full for a while.
-const afterFailure = 10 * time.Second
+// rejoinDelay is how long a gateway that has abandoned its log does not become a learner again: its disk may stay full
+// for a while.
+const rejoinDelay = 10 * time.Second
 
-// fail gives the log up after an error of the library or of the disk: the gateway follows from then on. What it has promised as
-// this voter may not be on disk, so that it gives its number up as well, and can be taken in only as another one. An agreement
-// that is only being founded is forgotten.
-func (a *Agent) fail(err error) {
+// abandonLog stops replicating the log after an error of the raft library or of the disk. The gateway is a follower from
+// then on. What it has acknowledged last as a voter may not be on disk, so it also gives up its voter ID and can only be
+// added again as another voter. A log that is still being bootstrapped is discarded.
+func (a *Agent) abandonLog(err error) {
 	if err == nil || a.group == nil {
 		return
 	}
-	a.log.Error("this gateway does not hold the log any more", zap.Error(err))
-	if b := a.Handed(); b != nil && !a.founding {
-		a.copy.Replace(b)
+	a.log.Error("replication of the log has failed, this gateway is no longer a voter", zap.Error(err))
+	if b := a.EncodedState(); b != nil && !a.bootstrapping {
+		a.replica.Replace(b)
 	}
-	a.founding = false
-	a.forfeit()
+	a.bootstrapping = false
+	a.forfeitVote()
 	a.failed, a.failedAt = true, a.host.Now()
 }
 
-// failedLately reports whether the log was given up a moment ago.
-func (a *Agent) failedLately() bool { return a.failed && a.host.Now()-a.failedAt < afterFailure }
+// failedRecently reports whether the log was abandoned less than rejoinDelay ago.
+func (a *Agent) failedRecently() bool { return a.failed && a.host.Now()-a.failedAt < rejoinDelay }
 
-// Stop ends the part. One that leads hands the lead on.
+// Stop ends the part. A leader first hands the lead to another voter.
 func (a *Agent) Stop() {
 	if a.group != nil && a.group.Leads() {
 		for _, v := range a.group.State().Voting() {
 			if v.ID != a.group.ID() {
-				a.group.Yield(v.ID)
+				a.group.TransferLead(v.ID)
 				a.pump()
 				break
 			}
@@ -71,15 +72,16 @@
 	a.stopped = true
 }
 
-// voters are the names to ask what is agreed: those who vote as far as is known, else those of the file.
-func (a *Agent) voters() (names []string) {
-	if st := a.State(); st != nil {
-		for _, v := range st.Voters {
+// voterNames returns the gateways to query for the agreed state: the known voters, or else the initial voters of the
+// configuration.
+func (a *Agent) voterNames() (names []string) {
+	if state := a.State(); state != nil {
+		for _, v := range state.Voters {
 			names = append(names, v.Name)
 		}
 	}
 	if len(names) == 0 {
-		names = slices.Clone(a.o.First)
+		names = slices.Clone(a.options.InitialVoters)
 	}
 	return names
 }
--- a/internal/fleet/agreement/arguments.go
+++ b/internal/fleet/agreement/arguments.go
@@ -10,62 +10,64 @@
 	"quillrail/internal/fleet/change"
 )
 
-// arguments are the options of a call, each taken once: what is left over is not understood.
+// arguments are the options of a declaration. Each is removed when it is read, so those that remain at the end are
+// unknown.
 type arguments struct {
-	left map[string]string
-	err  error
+	remaining map[string]string
+	err       error
 }
 
-func (w *arguments) text(name string) string {
-	v := w.left[name]
-	delete(w.left, name)
+func (args *arguments) text(name string) string {
+	v := args.remaining[name]
+	delete(args.remaining, name)
 	return v
 }
 
-func (w *arguments) list(name string) []string {
-	if v := w.text(name); v != "" {
+func (args *arguments) list(name string) []string {
+	if v := args.text(name); v != "" {
 		return strings.Split(v, ",")
 	}
 	return nil
 }
 
-func (w *arguments) number(name string, usual float64) float64 {
-	v := w.text(name)
+func (args *arguments) number(name string, fallback float64) float64 {
+	v := args.text(name)
 	if v == "" {
-		return usual
+		return fallback
 	}
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(x >= 0 && x < 1e12) {
-		w.err = errors.Join(w.err, fmt.Errorf("%s=%s is no number", name, v))
+	number, err := strconv.ParseFloat(v, 64)
+	if err != nil || !(number >= 0 && number < 1e12) {
+		args.err = errors.Join(args.err, fmt.Errorf("%s=%s is no number", name, v))
 	}
-	return x
+	return number
 }
 
-func (w *arguments) one(name string, of ...string) string {
-	v := w.text(name)
-	if v != "" && !slices.Contains(of, v) {
-		w.err = errors.Join(w.err, fmt.Errorf("%s is one of %v, not %q", name, of, v))
+// choice returns an option that must have one of the given values if it is set.
+func (args *arguments) choice(name string, allowed ...string) string {
+	v := args.text(name)
+	if v != "" && !slices.Contains(allowed, v) {
+		args.err = errors.Join(args.err, fmt.Errorf("%s is one of %v, not %q", name, allowed, v))
 	}
 	return v
 }
 
-func (w *arguments) limit(name string, usual change.Limit) change.Limit {
-	v := w.text(name)
+func (args *arguments) limit(name string, fallback change.Limit) change.Limit {
+	v := args.text(name)
 	if v == "" {
-		return usual
+		return fallback
 	}
 	l, err := change.ParseLimit(v)
-	w.err = errors.Join(w.err, err)
+	args.err = errors.Join(args.err, err)
 	return l
 }
 
-// done reports what was wrong with the options.
-func (w *arguments) done() error {
-	for _, name := range sorted(w.left) {
-		w.err = errors.Join(w.err, fmt.Errorf("%s is not understood here", name))
+// finish returns all errors found in the options, as one line.
+func (args *arguments) finish() error {
+	for _, name := range sortedKeys(args.remaining) {
+		args.err = errors.Join(args.err, fmt.Errorf("%s is not understood here", name))
 	}
-	if w.err != nil {
-		return errors.New(strings.ReplaceAll(w.err.Error(), "\n", "; "))
+	if args.err != nil {
+		return errors.New(strings.ReplaceAll(args.err.Error(), "\n", "; "))
 	}
 	return nil
 }
--- a/internal/fleet/agreement/eligibility.go
+++ b/internal/fleet/agreement/eligibility.go
@@ -13,40 +13,41 @@
 )
 
 const (
-	claimEvery = 300 * time.Millisecond
-	claimOld   = 1500 * time.Millisecond // an answer from before that says nothing of now
+	identityQueryInterval = 300 * time.Millisecond  // between two queries to the other gateways
+	identityAnswerMaxAge  = 1500 * time.Millisecond // an older answer may be outdated
 )
 
-// answer is what another gateway has said of itself and of this one.
-type answer struct {
-	id    uint64 // of its disk
-	index uint64 // of what it knows to be agreed, 0 for nothing
-	at    time.Duration
+// identityAnswer is what another gateway has answered to an identity query.
+type identityAnswer struct {
+	voterID uint64        // of the answering gateway's disk
+	index   uint64        // last log entry that it knows, 0 if it knows none
+	at      time.Duration // when the answer was received
 }
 
-// settle decides whether this gateway may vote by its disk, or whether a first agreement begins.
-func (a *Agent) settle(now time.Duration) {
-	first := a.State() == nil && len(a.o.First) > 0 && a.o.First[0] == a.o.Name
-	if a.claim == nil && !first || a.ticks%int(claimEvery/(100*time.Millisecond)) != 0 {
+// resolveIdentity queries the other gateways to decide whether this gateway may vote with the log on its disk, or
+// whether it has to bootstrap the first log.
+func (a *Agent) resolveIdentity(now time.Duration) {
+	first := a.State() == nil && len(a.options.InitialVoters) > 0 && a.options.InitialVoters[0] == a.options.Name
+	if a.eligibility == nil && !first || a.ticks%int(identityQueryInterval/(100*time.Millisecond)) != 0 {
 		return
 	}
-	for _, name := range a.others() {
-		a.send(name, message{Kind: messageLifeQuestion, Life: a.host.Incarnation().Number, Tag: a.host.Incarnation().Tag})
+	for _, name := range a.otherGateways() {
+		a.send(name, message{Kind: messageIncarnationQuery, Incarnation: a.host.Incarnation().Number, Tag: a.host.Incarnation().Tag})
 	}
-	if a.claim != nil {
-		a.judge()
+	if a.eligibility != nil {
+		a.applyVerdict()
 	} else if first {
-		a.found(now)
+		a.tryBootstrap(now)
 	}
 }
 
-// others are all gateways that are known of, and the voters.
-func (a *Agent) others() []string {
+// otherGateways returns the names of all known gateways and voters except this one.
+func (a *Agent) otherGateways() []string {
 	names := map[string]bool{}
-	for _, n := range a.voters() {
+	for _, n := range a.voterNames() {
 		names[n] = true
 	}
-	for _, n := range a.o.First {
+	for _, n := range a.options.InitialVoters {
 		names[n] = true
 	}
 	for _, e := range a.host.View().Peers() {
@@ -54,114 +55,117 @@
 			names[e.Metadata.Name] = true
 		}
 	}
-	delete(names, a.o.Name)
+	delete(names, a.options.Name)
 	return slices.Sorted(maps.Keys(names))
 }
 
-func (a *Agent) claimed(from string, x message) {
-	a.known[from] = answer{x.ID, x.Index, a.host.Now()}
-	if a.claim != nil {
-		a.claim.Answer(from, x.Life)
-		a.judge()
+// handleIdentityAnswer handles the answer of another gateway to an identity query.
+func (a *Agent) handleIdentityAnswer(from string, msg message) {
+	a.answers[from] = identityAnswer{msg.ID, msg.Index, a.host.Now()}
+	if a.eligibility != nil {
+		a.eligibility.Answer(from, msg.Incarnation)
+		a.applyVerdict()
 	}
 }
 
-// judge takes the disk into use, or gives the vote up.
-func (a *Agent) judge() {
-	switch a.claim.Verdict() {
-	case replog.May:
-		g, err := replog.Open(a.o.Name, *a.mine, a.applied)
+// applyVerdict starts to use the log on disk, or gives up this gateway's vote, once the eligibility is decided.
+func (a *Agent) applyVerdict() {
+	switch a.eligibility.Verdict() {
+	case replog.VerdictVote:
+		group, err := replog.Open(a.options.Name, *a.storedLog, a.handleApplied)
 		if err != nil {
-			a.log.Error("the log on disk is not used: this gateway gives its vote up", zap.Error(err))
-			a.forfeit()
+			a.log.Error("log on disk is not usable, giving up this gateway's vote", zap.Error(err))
+			a.forfeitVote()
 			return
 		}
-		a.claim, a.mine, a.group = nil, nil, g
-		a.held.sync(a, g.State())
-		a.log.Info("this gateway holds the log", zap.Uint64("entry", g.State().Index))
+		a.eligibility, a.storedLog, a.group = nil, nil, group
+		a.permits.syncBans(a, group.State())
+		a.log.Info("this gateway replicates the log", zap.Uint64("entry", group.State().Index))
 		a.pump()
-	case replog.Forfeits:
+	case replog.VerdictForfeit:
 		a.log.Error("the disk is older than this gateway's last life: it gives its vote up, and follows")
-		a.forfeit()
+		a.forfeitVote()
 	}
 }
 
-// forfeit makes this gateway another one than the voter it was: its number is drawn anew, and the log on disk is gone.
-func (a *Agent) forfeit() {
-	a.claim, a.mine, a.group, a.writing = nil, nil, nil, false
-	a.id++
+// forfeitVote makes this gateway another voter than it was: it gets a new voter ID, and the log on its disk is deleted.
+func (a *Agent) forfeitVote() {
+	a.eligibility, a.storedLog, a.group, a.writing = nil, nil, nil, false
+	a.voterID++
 	if a.host.Store() == nil {
 		return
 	}
 	entries := map[string][]byte{keyID: nil, keyHard: nil, keySnap: nil}
-	for i := a.logLo; i <= a.logHi; i++ {
+	for i := a.firstLogIndex; i <= a.lastLogIndex; i++ {
 		entries[logKey(i)] = nil
 	}
-	a.logLo, a.logHi = 1, 0
+	a.firstLogIndex, a.lastLogIndex = 1, 0
 	a.host.Store().Write(entries, func(error) {})
 	a.host.SaveSoon()
 }
 
-// found begins the first agreement, once all that are to vote have said that they know of none, and so has everybody else.
-func (a *Agent) found(now time.Duration) {
-	voters := []replog.Voter{{ID: a.id, Name: a.o.Name, Hall: a.o.Hall}}
-	for _, name := range a.others() {
-		k, ok := a.known[name]
-		if !ok || now-k.at > claimOld || k.index > 0 || k.id == 0 {
+// tryBootstrap starts the first log, once all initial voters and all other known gateways have recently answered that
+// they know of none.
+func (a *Agent) tryBootstrap(now time.Duration) {
+	voters := []replog.Voter{{ID: a.voterID, Name: a.options.Name, Hall: a.options.Hall}}
+	for _, name := range a.otherGateways() {
+		answer, ok := a.answers[name]
+		if !ok || now-answer.at > identityAnswerMaxAge || answer.index > 0 || answer.voterID == 0 {
 			return
 		}
-		if slices.Contains(a.o.First, name) {
-			voters = append(voters, replog.Voter{ID: k.id, Name: name, Hall: a.hallOf(name)})
+		if slices.Contains(a.options.InitialVoters, name) {
+			voters = append(voters, replog.Voter{ID: answer.voterID, Name: name, Hall: a.hallOf(name)})
 		}
 	}
-	if len(voters) != len(a.o.First) || a.host.Store() == nil || a.failedLately() {
+	if len(voters) != len(a.options.InitialVoters) || a.host.Store() == nil || a.failedRecently() {
 		return
 	}
-	a.begin(a.fresh(), voters)
+	a.startLog(a.initialState(), voters)
 }
 
-// fresh is what is agreed before anything is: what the files of the voters say.
-func (a *Agent) fresh() *replog.State {
-	return replog.NewState(site.KnownNames{Tenants: a.o.Tenants, Classes: a.o.Classes, Halls: a.o.Halls}, a.o.Rules, a.o.Limits)
+// initialState returns the state that a new log starts with, from the configuration file of the gateway that starts it.
+func (a *Agent) initialState() *replog.State {
+	return replog.NewState(site.KnownNames{Tenants: a.options.Tenants, Classes: a.options.Classes, Halls: a.options.Halls},
+		a.options.Rules, a.options.Limits)
 }
 
-// begin puts the beginning of a log on disk and takes part in it.
-func (a *Agent) begin(st *replog.State, voters []replog.Voter) {
-	w, err := replog.Found(st, voters)
+// startLog writes the start of a log to disk and then takes part in it.
+func (a *Agent) startLog(state *replog.State, voters []replog.Voter) {
+	write, err := replog.Bootstrap(state, voters)
 	if err != nil {
-		a.log.Error("no agreement can begin", zap.Error(err))
+		a.log.Error("cannot start a new log", zap.Error(err))
 		return
 	}
-	g, err := replog.Open(a.o.Name, replog.Disk{ID: a.id, Hard: w.Hard, Snap: w.Snap}, a.applied)
+	group, err := replog.Open(a.options.Name, replog.Disk{ID: a.voterID, Hard: write.Hard, Snap: write.Snap}, a.handleApplied)
 	if err != nil {
-		a.log.Error("no agreement can begin", zap.Error(err))
+		a.log.Error("cannot start a new log", zap.Error(err))
 		return
 	}
-	a.group, a.writing, a.founding = g, true, true
-	a.log.Info("an agreement begins", zap.Strings("voters", a.voters()))
-	a.persist(w, func() {
-		if a.group == g {
-			a.writing, a.founding = false, false
-			a.fail(g.Campaign())
+	a.group, a.writing, a.bootstrapping = group, true, true
+	a.log.Info("starting a new log", zap.Strings("voters", a.voterNames()))
+	a.persist(write, func() {
+		if a.group == group {
+			a.writing, a.bootstrapping = false, false
+			a.abandonLog(group.Campaign())
 			a.pump()
-			a.tellEra()
+			a.announceEra()
 		}
 	})
 }
 
-// hallOf is the hall of a gateway, by what it says of itself.
+// hallOf returns the hall of a gateway according to that gateway itself, "" if it is unknown.
 func (a *Agent) hallOf(name string) string {
-	if e, ok := a.host.View().Peer(name); ok {
-		return a.hallName(e.Metadata.Hall)
+	if peer, ok := a.host.View().Peer(name); ok {
+		return a.hallName(peer.Metadata.Hall)
 	}
 	return ""
 }
 
-// leave follows from now on, what was held is dropped: the others have removed this gateway's vote.
-func (a *Agent) leave() {
-	a.log.Info("this gateway does not hold the log any more: others do")
-	if b := a.Handed(); b != nil {
-		a.copy.Replace(b)
+// stopVoting deletes the log and makes this gateway a follower, because the other voters have removed it.
+func (a *Agent) stopVoting() {
+	a.log.Info("this gateway was removed from the voters and follows them")
+	if b := a.EncodedState(); b != nil {
+		a.replica.Replace(b)
 	}
-	a.forfeit()
+	a.forfeitVote()
 }
--- a/internal/fleet/agreement/fail_test.go
+++ b/internal/fleet/agreement/fail_test.go
@@ -15,7 +15,7 @@
 	"quillrail/internal/fleet/replog"
 )
 
-// heartbeat is a leader's heartbeat to a voter's number.
+// heartbeat returns a heartbeat of a leader to the given voter ID.
 func heartbeat(t *testing.T, to uint64) []byte {
 	t.Helper()
 	kind, from, term := raftpb.MsgHeartbeat, uint64(9), uint64(3)
@@ -26,9 +26,9 @@
 	return b
 }
 
-// A voter whose log fails under it does not go on as the same voter with an empty log: it would have forgotten for whom it voted.
-// It is another one from then on, which may be taken in after a while.
-func TestFailedVoterIsAnother(t *testing.T) {
+// A voter whose log fails must not go on as the same voter with an empty log, because it would have forgotten its votes.
+// It gets a new voter ID and may be added as another voter after a while.
+func TestVoterWhoseLogFailsGetsNewVoterID(t *testing.T) {
 	now := time.Hour
 	loop := core.NewLoop(func() time.Duration { return now })
 	var a *Agent
@@ -37,47 +37,47 @@
 		a = New(h, nil, Options{Name: "g1"})
 		return a
 	})
-	takenIn := func(id uint64) bool {
-		a.writing = true // as a disk that does not answer yet
-		a.raft("g2", heartbeat(t, id))
+	becomesLearner := func(id uint64) bool {
+		a.writing = true // like a disk that has not answered yet
+		a.handleRaftMessage("g2", heartbeat(t, id))
 		return a.group != nil
 	}
-	a.id = 44
-	if !takenIn(44) {
-		t.Fatal("it is not taken in")
+	a.voterID = 44
+	if !becomesLearner(44) {
+		t.Fatal("the gateway does not become a learner")
 	}
-	a.fail(errors.New("no room"))
-	if a.group != nil || a.id == 44 {
-		t.Fatalf("it goes on as voter %d", a.id)
+	a.abandonLog(errors.New("no room"))
+	if a.group != nil || a.voterID == 44 {
+		t.Fatalf("the gateway goes on as voter %d", a.voterID)
 	}
-	if takenIn(a.id) {
-		t.Error("it is taken in again at once")
+	if becomesLearner(a.voterID) {
+		t.Error("the gateway becomes a learner again at once")
 	}
-	now += afterFailure
+	now += rejoinDelay
 	loop.RunOnce()
-	if takenIn(44) {
-		t.Error("it is the former voter again")
+	if becomesLearner(44) {
+		t.Error("the gateway becomes the former voter again")
 	}
-	if !takenIn(a.id) {
-		t.Error("it is not taken in as another voter")
+	if !becomesLearner(a.voterID) {
+		t.Error("the gateway does not become a learner under its new voter ID")
 	}
-	a.group, a.founding = foundingGroup(t, a), true
-	a.fail(errors.New("no room"))
+	a.group, a.bootstrapping = bootstrapGroup(t, a), true
+	a.abandonLog(errors.New("no room"))
 	if a.State() != nil {
-		t.Error("an agreement that was never on a disk is known")
+		t.Error("the state of a log that was never on disk is known")
 	}
 }
 
-// foundingGroup is the group of a gateway that founds an agreement.
-func foundingGroup(t *testing.T, a *Agent) *replog.Group {
+// bootstrapGroup returns the group of a gateway that bootstraps a log.
+func bootstrapGroup(t *testing.T, a *Agent) *replog.Group {
 	t.Helper()
-	w, err := replog.Found(a.fresh(), []replog.Voter{{ID: a.id, Name: "g1"}})
+	write, err := replog.Bootstrap(a.initialState(), []replog.Voter{{ID: a.voterID, Name: "g1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	g, err := replog.Open("g1", replog.Disk{ID: a.id, Hard: w.Hard, Snap: w.Snap}, a.applied)
+	group, err := replog.Open("g1", replog.Disk{ID: a.voterID, Hard: write.Hard, Snap: write.Snap}, a.handleApplied)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return g
+	return group
 }
--- a/internal/fleet/agreement/follow.go
+++ b/internal/fleet/agreement/follow.go
@@ -11,58 +11,59 @@
 )
 
 const (
-	followEvery = time.Second
-	lonely      = 3 * time.Second // without a word the next voter is asked, and one that votes asks as well
-	beatTicks   = 5               // a voter tells those who follow it that nothing is new
-	followOld   = 5 * time.Second // who has not asked for so long does not follow any more
-	mostRecent  = 1024            // entries that are kept to be told
-	mostAtOnce  = 128
-	mostFollow  = 1024
+	followInterval       = time.Second     // between two requests of a follower for updates
+	contactTimeout       = 3 * time.Second // without current state, a follower then tries the next voter, and a voter requests updates too
+	heartbeatTicks       = 5               // ticks between heartbeats to followers
+	followerTimeout      = 5 * time.Second // since a gateway's last request for updates, until it no longer counts as a follower
+	maxRecentEntries     = 1024            // recent entries that are remembered for followers
+	maxEntriesPerMessage = 128
+	maxFollowers         = 1024
 )
 
-// recent are the last entries that were applied here, as they are told.
-type recent struct {
-	from uint64
-	raw  [][]byte
+// recentEntries holds the last entries that were applied here, in the form sent to followers.
+type recentEntries struct {
+	first uint64 // index of the first entry in raw
+	raw   [][]byte
 }
 
-func (r *recent) add(x replog.Applied) {
-	if x.Whole || x.Index != r.from+uint64(len(r.raw)) {
-		r.from, r.raw = x.Index+1, nil
-		if x.Whole {
+func (r *recentEntries) add(applied replog.Applied) {
+	if applied.Snapshot || applied.Index != r.first+uint64(len(r.raw)) {
+		r.first, r.raw = applied.Index+1, nil
+		if applied.Snapshot {
 			return
 		}
-		r.from = x.Index
+		r.first = applied.Index
 	}
-	if r.raw = append(r.raw, x.Raw); len(r.raw) > mostRecent {
-		r.from, r.raw = r.from+mostRecent/2, slices.Clone(r.raw[mostRecent/2:])
+	if r.raw = append(r.raw, applied.Raw); len(r.raw) > maxRecentEntries {
+		r.first, r.raw = r.first+maxRecentEntries/2, slices.Clone(r.raw[maxRecentEntries/2:])
 	}
 }
 
-// after are the entries after one, false if they are not there any more.
-func (r *recent) after(index uint64) ([][]byte, bool) {
-	if index+1 < r.from || index+1 > r.from+uint64(len(r.raw)) {
+// after returns the entries that follow the given index, at most maxEntriesPerMessage, and false if they are no longer
+// remembered.
+func (r *recentEntries) after(index uint64) ([][]byte, bool) {
+	if index+1 < r.first || index+1 > r.first+uint64(len(r.raw)) {
 		return nil, false
 	}
-	all := r.raw[index+1-r.from:]
-	return all[:min(len(all), mostAtOnce)], true
+	all := r.raw[index+1-r.first:]
+	return all[:min(len(all), maxEntriesPerMessage)], true
 }
 
-// follower is one that is told what comes.
-type follower struct {
-	next uint64 // that it has not been told
-	at   time.Duration
+// followerState is what this gateway has sent to one of its followers.
+type followerState struct {
+	next        uint64        // index of the next entry to send
+	requestedAt time.Duration // time of its last request
 }
 
-// follow asks for what is new.
-func (a *Agent) follow(now time.Duration) {
-	if now-a.asked < followEvery {
+// requestUpdates asks the followed gateway for entries that are new to this one.
+func (a *Agent) requestUpdates(now time.Duration) {
+	if now-a.lastFollowAt < followInterval {
 		return
 	}
-	a.asked = now
-	names := slices.DeleteFunc(a.voters(), func(n string) bool { return n == a.o.Name })
+	a.lastFollowAt = now
+	names := slices.DeleteFunc(a.voterNames(), func(n string) bool { return n == a.options.Name })
 	if len(names) == 0 {
-		for _, e := range a.host.View().Peers() { // nobody is known to vote: whoever is there may know
+		for _, e := range a.host.View().Peers() { // no voter is known: any gateway may know the state
 			if e.State < member.Suspected {
 				names = append(names, e.Metadata.Name)
 			}
@@ -71,142 +72,147 @@
 	if len(names) == 0 {
 		return
 	}
-	if i := slices.Index(names, a.from); i < 0 {
-		a.from = names[int(a.host.Incarnation().Tag%uint64(len(names)))] // not all of a large fleet ask the same one
-	} else if now-a.heard > lonely {
-		a.from = names[(i+1)%len(names)]
+	if i := slices.Index(names, a.source); i < 0 {
+		a.source = names[int(a.host.Incarnation().Tag%uint64(len(names)))] // spread the followers of a large fleet over the voters
+	} else if now-a.currentAt > contactTimeout {
+		a.source = names[(i+1)%len(names)]
 	}
-	a.send(a.from, message{Kind: messageFollow, Index: a.copy.After()})
+	a.send(a.source, message{Kind: messageFollow, Index: a.replica.LastIndex()})
 }
 
-// followed tells one that follows what it lacks.
-func (a *Agent) followed(from string, x message) {
-	st := a.State()
-	if st == nil || len(a.follows) >= mostFollow && a.follows[from] == nil {
+// handleFollow registers a follower and sends what it lacks.
+func (a *Agent) handleFollow(from string, msg message) {
+	state := a.State()
+	if state == nil || len(a.followers) >= maxFollowers && a.followers[from] == nil {
 		return
 	}
-	if x.Era != st.Era { // it has to begin with the whole
-		x.Index = 0
+	if msg.Era != state.Era { // it has to start with the whole state
+		msg.Index = 0
 	}
-	a.follows[from] = &follower{next: x.Index + 1, at: a.host.Now()}
-	a.feed(from)
-	a.beat(from)
+	a.followers[from] = &followerState{next: msg.Index + 1, requestedAt: a.host.Now()}
+	a.sendUpdates(from)
+	a.sendHeartbeat(from)
 }
 
-// feed tells one that follows what is new to it.
-func (a *Agent) feed(to string) {
-	f, st := a.follows[to], a.State()
-	for f.next <= st.Index {
-		raw, ok := a.recent.after(f.next - 1)
-		if !ok || f.next == 1 {
-			b, err := st.Encode()
-			if err != nil || !a.send(to, message{Kind: messageState, Body: b}) {
+// sendUpdates sends a follower the entries that are new to it, or the whole state if those entries are no longer
+// remembered.
+func (a *Agent) sendUpdates(to string) {
+	follower, state := a.followers[to], a.State()
+	for follower.next <= state.Index {
+		raw, ok := a.recent.after(follower.next - 1)
+		if !ok || follower.next == 1 {
+			body, err := state.Encode()
+			if err != nil || !a.send(to, message{Kind: messageState, Body: body}) {
 				return
 			}
-			f.next = st.Index + 1
+			follower.next = state.Index + 1
 			return
 		}
-		if !a.send(to, message{Kind: messageEntries, Index: f.next, Entries: raw}) {
+		if !a.send(to, message{Kind: messageEntries, Index: follower.next, Entries: raw}) {
 			return
 		}
-		f.next += uint64(len(raw))
+		follower.next += uint64(len(raw))
 	}
 }
 
-// beat tells one that follows that it has been told all.
-func (a *Agent) beat(to string) {
-	age, caught := a.Age()
-	if !caught {
+// sendHeartbeat tells a follower how current the state is. The heartbeat carries the hash of the state, this gateway's
+// clock and the leader.
+func (a *Agent) sendHeartbeat(to string) {
+	age, caughtUp := a.Age()
+	if !caughtUp {
 		return
 	}
-	st := a.State()
-	a.send(to, message{Kind: messageHeartbeat, Index: st.Index, Hash: a.hash(), AgeMs: age.Milliseconds(), At: a.host.Now().Milliseconds(), Name: a.leads()})
+	state := a.State()
+	a.send(to, message{Kind: messageHeartbeat, Index: state.Index, Hash: a.stateHash(), AgeMs: age.Milliseconds(),
+		At: a.host.Now().Milliseconds(), Name: a.leaderName()})
 }
 
-// leads is who leads, as far as this gateway knows.
-func (a *Agent) leads() string {
+// leaderName returns the leader as far as this gateway knows, "" if it knows none.
+func (a *Agent) leaderName() string {
 	if a.group == nil {
-		return a.leader
+		return a.reportedLeader
 	}
 	if a.group.Leads() {
-		return a.o.Name
+		return a.options.Name
 	}
-	return a.nameOf(a.group.Leader())
+	return a.gatewayOfVoter(a.group.Leader())
 }
 
-// pushed tells those who follow what has just been agreed.
-func (a *Agent) pushed() {
-	for name := range a.follows {
-		a.feed(name)
+// updateFollowers sends newly applied entries to all followers.
+func (a *Agent) updateFollowers() {
+	for name := range a.followers {
+		a.sendUpdates(name)
 	}
 }
 
-// again is what a voter, or one that others follow, does each tick for them.
-func (a *Agent) again(now time.Duration) {
-	a.retry(now)
-	if a.ticks%beatTicks != 0 {
+// retryAndUpdate resends own proposals that have not been applied, and regularly updates the followers. It is called
+// every tick.
+func (a *Agent) retryAndUpdate(now time.Duration) {
+	a.retryProposals(now)
+	if a.ticks%heartbeatTicks != 0 {
 		return
 	}
-	for name, f := range a.follows {
-		if now-f.at > followOld {
-			delete(a.follows, name)
+	for name, follower := range a.followers {
+		if now-follower.requestedAt > followerTimeout {
+			delete(a.followers, name)
 			continue
 		}
 		if a.State() != nil {
-			a.feed(name)
-			a.beat(name)
+			a.sendUpdates(name)
+			a.sendHeartbeat(name)
 		}
 	}
 }
 
-// hash is that of the state, reckoned once for each entry.
-func (a *Agent) hash() uint64 {
-	st := a.State()
-	if a.hashAt != st.Index {
-		a.hashAt, a.hashed = st.Index, st.Hash()
+// stateHash returns the hash of the state, which is computed once for each entry.
+func (a *Agent) stateHash() uint64 {
+	state := a.State()
+	if a.hashIndex != state.Index {
+		a.hashIndex, a.hashValue = state.Index, state.Hash()
 	}
-	return a.hashed
+	return a.hashValue
 }
 
-// fed takes what the voter that is followed tells.
-func (a *Agent) fed(from string, x message) {
-	switch x.Kind {
+// handleUpdate handles a message that the followed gateway sends to its followers.
+func (a *Agent) handleUpdate(from string, msg message) {
+	switch msg.Kind {
 	case messageState:
-		if err := a.copy.Replace(x.Body); err != nil {
-			a.log.Warn("what another gateway knows to be agreed is not understood", zap.String("gateway", from), zap.Error(err))
+		if err := a.replica.Replace(msg.Body); err != nil {
+			a.log.Warn("received agreed state cannot be decoded", zap.String("gateway", from), zap.Error(err))
 		}
 	case messageEntries:
-		if a.copy.State == nil {
+		if a.replica.State == nil {
 			return
 		}
-		if err := a.copy.Take(x.Index, x.Entries); err != nil {
-			a.log.Debug("entries are missing", zap.Error(err))
+		if err := a.replica.ApplyEntries(msg.Index, msg.Entries); err != nil {
+			a.log.Debug("received entries do not continue the known ones", zap.Error(err))
 		}
 	case messageHeartbeat:
-		a.clockSeen(x)
-		a.leader = x.Name
-		if st := a.copy.State; st != nil && a.group == nil {
-			if st.Index == x.Index && st.Era == x.Era {
-				a.current(time.Duration(x.AgeMs) * time.Millisecond)
-				if h := a.hash(); x.Hash != 0 && h != x.Hash {
+		a.recordClockOffset(msg)
+		a.reportedLeader = msg.Name
+		if state := a.replica.State; state != nil && a.group == nil {
+			if state.Index == msg.Index && state.Era == msg.Era {
+				a.markCurrent(time.Duration(msg.AgeMs) * time.Millisecond)
+				if hash := a.stateHash(); msg.Hash != 0 && hash != msg.Hash {
 					a.alarm("this gateway and another have come to different states by the same entries", zap.String("gateway", from),
-						zap.Uint64("entry", st.Index))
+						zap.Uint64("entry", state.Index))
 				}
 			}
 		}
 	}
-	if a.group != nil && a.group.State() != nil && a.copy.State != nil && replog.Newer(a.copy.State.Era, a.copy.After(), a.group.State()) {
-		if v := a.copy.State.Voter(a.o.Name); v == nil || v.ID != a.group.ID() { // removed while it was away
-			a.leave()
+	if a.group != nil && a.group.State() != nil && a.replica.State != nil &&
+		replog.Newer(a.replica.State.Era, a.replica.LastIndex(), a.group.State()) {
+		if voter := a.replica.State.Voter(a.options.Name); voter == nil || voter.ID != a.group.ID() {
+			a.stopVoting() // this voter was removed while it was partitioned
 		}
 	}
 }
 
-// alarm names what must not be, once a second at the most.
-func (a *Agent) alarm(what string, f ...zap.Field) {
+// alarm logs a condition that must never occur, at most once a second, and counts it.
+func (a *Agent) alarm(what string, fields ...zap.Field) {
 	a.alarms++
-	if a.host.Now()-a.alarmed > time.Second {
-		a.alarmed = a.host.Now()
-		a.log.Error(what, f...)
+	if a.host.Now()-a.lastAlarmAt > time.Second {
+		a.lastAlarmAt = a.host.Now()
+		a.log.Error(what, fields...)
 	}
 }
--- a/internal/fleet/agreement/frozen.go
+++ b/internal/fleet/agreement/frozen.go
@@ -12,11 +12,11 @@
 	"quillrail/internal/fleet/safeguard"
 )
 
-// clock is this gateway's clock with the bound that is agreed.
+// clock returns this gateway's clock together with the agreed bound on clock errors.
 func (a *Agent) clock() freeze.Clock {
-	bound := a.o.Rules.ClockBoundMs
-	if st := a.State(); st != nil {
-		bound = st.Rules.ClockBoundMs
+	bound := a.options.Rules.ClockBoundMs
+	if state := a.State(); state != nil {
+		bound = state.Rules.ClockBoundMs
 	}
 	if !safeguard.Enabled("clock bound") {
 		bound = 0
@@ -24,64 +24,69 @@
 	return freeze.Clock{At: time.UnixMilli(a.host.Now().Milliseconds()), Bound: time.Duration(bound) * time.Millisecond}
 }
 
-// clockSeen compares this clock with one that is told: what it says was said a moment ago, so that only a clock that is
-// behind it by more than both bounds, or ahead by more than that and the time a message may take, is known to be off.
-func (a *Agent) clockSeen(x message) {
-	if x.At > 0 {
-		a.off, a.offAt = a.host.Now()-time.Duration(x.At)*time.Millisecond, a.host.Now()
+// recordClockOffset compares this gateway's clock with the one in a received message. The message may have been under
+// way for some time, so this gateway's clock is known to be wrong only if it is behind by more than twice the bound, or
+// ahead by more than that and the longest delay of a message.
+func (a *Agent) recordClockOffset(msg message) {
+	if msg.At > 0 {
+		a.clockOffset, a.clockOffsetAt = a.host.Now()-time.Duration(msg.At)*time.Millisecond, a.host.Now()
 	}
 }
 
-// messageFor is the longest that a message is thought to take in fair weather.
-const messageFor = time.Second
+// maxMessageDelay is the longest delay of a message that is expected in a healthy network.
+const maxMessageDelay = time.Second
 
-// Frozen reports why this gateway must not change its configuration now, "" if it may. halls are those that it touches.
+// Frozen returns the reason why this gateway must not make a change of the given kind now, "" if it may.
 func (a *Agent) Frozen(k freeze.Kind) string {
-	st, c := a.State(), a.clock()
-	if st == nil {
+	state, clock := a.State(), a.clock()
+	if state == nil {
 		return "it is not known yet what is agreed"
 	}
-	if !a.caught && safeguard.Enabled("caught up") {
+	if !a.caughtUp && safeguard.Enabled("caught up") {
 		return "it is not known yet whether what is agreed is still so"
 	}
 	age, _ := a.Age()
-	if ahead := time.Duration(st.Rules.FreezeAheadMs) * time.Millisecond; age > ahead && safeguard.Enabled("stricter when stale") {
+	if ahead := time.Duration(state.Rules.FreezeAheadMs) * time.Millisecond; age > ahead && safeguard.Enabled("stricter when stale") {
 		return fmt.Sprintf("nothing has been heard of what is agreed for %v", age.Round(time.Second))
 	}
-	if bound := time.Duration(st.Rules.ClockBoundMs) * time.Millisecond; a.off < -2*bound || a.off > 2*bound+messageFor {
-		return fmt.Sprintf("this gateway's clock is %v off from the leader's, more than the bound of %v allows", a.off.Round(time.Millisecond), bound)
+	if bound := time.Duration(state.Rules.ClockBoundMs) * time.Millisecond; a.clockOffset < -2*bound ||
+		a.clockOffset > 2*bound+maxMessageDelay {
+		return fmt.Sprintf("this gateway's clock is %v off from the leader's, more than the bound of %v allows",
+			a.clockOffset.Round(time.Millisecond), bound)
 	}
-	if p := st.Freeze.Forbids(k, []string{a.o.Hall}, c); p != nil && safeguard.Enabled("freeze") {
-		until, _ := p.InForce(c.At, c.Bound)
-		return fmt.Sprintf("the freeze %s of %s is in force until %s", p.Name, p.Owner, until.UTC().Format(time.RFC3339))
+	if period := state.Freeze.Forbids(k, []string{a.options.Hall}, clock); period != nil && safeguard.Enabled("freeze") {
+		until, _ := period.InForce(clock.At, clock.Bound)
+		return fmt.Sprintf("the freeze %s of %s is in force until %s", period.Name, period.Owner, until.UTC().Format(time.RFC3339))
 	}
 	return ""
 }
 
-// Drops reports whether what came within the freezes that are in force is to be dropped afterwards.
+// Drops reports whether changes of the given kind that arrive during the freezes in force are to be dropped afterwards.
 func (a *Agent) Drops(k freeze.Kind) bool {
-	st := a.State()
-	return st != nil && slices.ContainsFunc(st.Freeze.InForce(a.clock()), func(p *freeze.Period) bool { return p.Drop && p.Covers(k, []string{a.o.Hall}) })
+	state := a.State()
+	return state != nil && slices.ContainsFunc(state.Freeze.InForce(a.clock()), func(p *freeze.Period) bool {
+		return p.Drop && p.Covers(k, []string{a.options.Hall})
+	})
 }
 
-// spans has the leader put down the occurrences of periods anew when few are left.
-func (a *Agent) spans(st *replog.State, now time.Duration) {
-	for _, p := range st.Freeze.Periods {
+// renewSpans makes the leader propose further occurrences of a recurring freeze when fewer than eight are left.
+func (a *Agent) renewSpans(state *replog.State, now time.Duration) {
+	for _, period := range state.Freeze.Periods {
 		left := 0
-		for _, s := range p.Spans {
+		for _, s := range period.Spans {
 			if s.To > now.Milliseconds() {
 				left++
 			}
 		}
-		if p.Rule != "" && left < 8 && now-a.spanned > time.Hour {
-			a.spanned = now
-			q := *p
-			q.FixSpans(time.UnixMilli(now.Milliseconds()))
-			a.put("spans", replog.SpansBody{Name: p.Name, Spans: q.Spans})
+		if period.Rule != "" && left < 8 && now-a.spansRenewedAt > time.Hour {
+			a.spansRenewedAt = now
+			renewed := *period
+			renewed.FixSpans(time.UnixMilli(now.Milliseconds()))
+			a.proposeAsLeader("spans", replog.SpansBody{Name: period.Name, Spans: renewed.Spans})
 		}
 	}
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	return slices.SortedFunc(maps.Keys(m), cmp.Compare[string])
 }
--- a/internal/fleet/agreement/holder.go
+++ b/internal/fleet/agreement/holder.go
@@ -13,222 +13,232 @@
 	"quillrail/internal/fleet/replog"
 )
 
-// holder is what this gateway has to do by what was agreed.
-type holder struct {
-	banned   map[string]bool // workers that are out by a permit
-	drain    uint64          // the permit by which this gateway is drained
-	unwanted uint64          // the permit for this gateway that an operator has taken back before it was used
-	asked    map[uint64]bool // permits of which the next step has been proposed
+// heldPermits tracks what this gateway has to do because of agreed permits.
+type heldPermits struct {
+	banned          map[string]bool // workers that a permit in use bans
+	drainPermit     uint64          // the permit under which this gateway drains
+	withdrawnPermit uint64          // the permit for this gateway that an operator withdrew before it was used
+	proposedSteps   map[uint64]bool // proposed steps by permit ID<<3 | step; step 1 uses the permit, step 2 returns it
 }
 
-// carry does what an entry asks of this gateway.
-func (x *holder) carry(a *Agent, e replog.Applied) {
-	if e.Err != nil {
+// handleEntry carries out what an applied entry requires of this gateway.
+func (h *heldPermits) handleEntry(a *Agent, applied replog.Applied) {
+	if applied.Err != nil {
 		return
 	}
-	switch e.Entry.Kind {
+	switch applied.Entry.Kind {
 	case "use", "return", "word", "end", "ask":
-		x.sync(a, a.State())
+		h.syncBans(a, a.State())
 	case "lift", "except", "second":
-		a.gw.Thawed()
+		a.gateway.RecheckFreezes()
 	case "take":
-		var b replog.NameBody
-		if msgpack.Unmarshal(e.Entry.Body, &b) == nil && b.Name == a.o.Name {
-			a.gw.Take()
+		var body replog.NameBody
+		if msgpack.Unmarshal(applied.Entry.Body, &body) == nil && body.Name == a.options.Name {
+			a.gateway.ApplyPendingConfig()
 		}
 	}
 }
 
-// sync brings bans in line with the permits: a worker is out while one that names it is in use.
-func (x *holder) sync(a *Agent, st *replog.State) {
-	if st == nil {
+// syncBans adapts the bans to the permits: a worker is banned while a permit that names it is in use.
+func (h *heldPermits) syncBans(a *Agent, state *replog.State) {
+	if state == nil {
 		return
 	}
-	out := map[string]bool{}
-	for _, p := range st.Change.Permits {
-		for _, t := range p.Things {
-			if t.Kind() == change.Worker && p.Phase == change.Used {
-				out[t.Name()] = true
+	wanted := map[string]bool{}
+	for _, permit := range state.Change.Permits {
+		for _, subject := range permit.Things {
+			if subject.Kind() == change.Worker && permit.Phase == change.Used {
+				wanted[subject.Name()] = true
 			}
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(out)) {
-		if !x.banned[id] {
-			a.gw.Ban(id)
+	for _, id := range slices.Sorted(maps.Keys(wanted)) {
+		if !h.banned[id] {
+			a.gateway.Ban(id)
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(x.banned)) {
-		if !out[id] {
-			a.gw.CallBack(id)
+	for _, id := range slices.Sorted(maps.Keys(h.banned)) {
+		if !wanted[id] {
+			a.gateway.Unban(id)
 		}
 	}
-	x.banned = out
+	h.banned = wanted
 }
 
-// once reports whether a step of a permit has not been proposed yet.
-func (x *holder) once(id uint64, step int) bool {
+// markProposed reports whether a step of a permit has not been proposed yet, and records it as proposed.
+func (h *heldPermits) markProposed(id uint64, step int) bool {
 	key := id<<3 | uint64(step)
-	if x.asked == nil {
-		x.asked = map[uint64]bool{}
+	if h.proposedSteps == nil {
+		h.proposedSteps = map[uint64]bool{}
 	}
-	if x.asked[key] {
+	if h.proposedSteps[key] {
 		return false
 	}
-	if len(x.asked) > 1000 {
-		clear(x.asked)
+	if len(h.proposedSteps) > 1000 {
+		clear(h.proposedSteps)
 	}
-	x.asked[key] = true
+	h.proposedSteps[key] = true
 	return true
 }
 
-// hold does the steps of permits that this gateway holds for itself.
-func (a *Agent) hold(now time.Duration) {
-	st, x := a.State(), &a.held
-	if st == nil {
+// advancePermits proposes the next steps of the permits that this gateway holds.
+func (a *Agent) advancePermits(now time.Duration) {
+	state, held := a.State(), &a.permits
+	if state == nil {
 		return
 	}
-	self := change.Of(change.Gateway, a.o.Name)
-	for _, p := range st.Change.Permits {
-		if p.Holder != a.o.Name {
+	self := change.Of(change.Gateway, a.options.Name)
+	for _, permit := range state.Change.Permits {
+		if permit.Holder != a.options.Name {
 			continue
 		}
-		mine := slices.Contains(p.Things, self)
+		mine := slices.Contains(permit.Things, self)
 		switch {
-		case p.Phase == change.Granted && x.once(p.ID, 1):
-			id := p.ID
-			a.Propose("use", "", 0, change.PermitBody{ID: id, Holder: a.o.Name, Life: a.host.Incarnation().Number}, func(_ uint64, err error) {
+		case permit.Phase == change.Granted && held.markProposed(permit.ID, 1):
+			id := permit.ID
+			a.Propose("use", "", 0, change.PermitBody{ID: id, Holder: a.options.Name, Life: a.host.Incarnation().Number}, func(_ uint64, err error) {
 				if err != nil {
-					delete(x.asked, id<<3|1) // it may be granted again
+					delete(held.proposedSteps, id<<3|1) // the permit may be granted again
 					a.log.Warn("a permit is not used", zap.Uint64("permit", id), zap.Error(err))
-				} else if mine && p.Release == 0 {
-					a.drained(id)
+				} else if mine && permit.Release == 0 {
+					a.startDrain(id)
 				}
 			})
-		case p.Phase == change.Used && mine && p.Release == 0 && p.Life < a.host.Incarnation().Number && a.gw.Serving() && x.once(p.ID, 2):
-			a.giveBack(p.ID) // a former life of this gateway was out by it, and this one serves
+		case permit.Phase == change.Used && mine && permit.Release == 0 && permit.Life < a.host.Incarnation().Number &&
+			a.gateway.Serving() && held.markProposed(permit.ID, 2):
+			a.returnOwnPermit(permit.ID) // a previous process used this permit, and this process serves clients again
 		}
 	}
 }
 
-// drained sends clients away: this gateway has seen that its permit is in use. One that an operator has taken back meanwhile
-// is given back: the entry by which it was to lapse comes behind the one by which it was used.
-func (a *Agent) drained(id uint64) {
-	if p := a.State().Change.Permit(id); p == nil || p.Phase != change.Used || p.Life != a.host.Incarnation().Number {
+// startDrain drains this gateway after its permit has come into use. If an operator has withdrawn the permit in the
+// meantime, the entry that was to make it lapse comes after the one that put it into use, so the permit is returned
+// instead.
+func (a *Agent) startDrain(id uint64) {
+	if permit := a.State().Change.Permit(id); permit == nil || permit.Phase != change.Used || permit.Life != a.host.Incarnation().Number {
 		return
 	}
-	if id == a.held.unwanted {
-		a.giveBack(id)
+	if id == a.permits.withdrawnPermit {
+		a.returnOwnPermit(id)
 		return
 	}
-	a.held.drain = id
-	a.gw.Drain(fmt.Sprintf("permit %d", id))
+	a.permits.drainPermit = id
+	a.gateway.Drain(fmt.Sprintf("permit %d", id))
 }
 
-func (a *Agent) giveBack(id uint64) {
-	a.Propose("return", "", 0, change.PermitBody{ID: id, Holder: a.o.Name, Life: a.host.Incarnation().Number}, nil)
+// returnOwnPermit proposes to return a permit that this process holds.
+func (a *Agent) returnOwnPermit(id uint64) {
+	a.Propose("return", "", 0, change.PermitBody{ID: id, Holder: a.options.Name, Life: a.host.Incarnation().Number}, nil)
 }
 
-// Permit is the permit that names this gateway, nil if none does.
-func (a *Agent) Permit() *change.Permit {
-	if st := a.State(); st != nil {
-		return st.Change.PermitOf(change.Of(change.Gateway, a.o.Name))
+// OwnPermit returns the permit that names this gateway, nil if there is none.
+func (a *Agent) OwnPermit() *change.Permit {
+	if state := a.State(); state != nil {
+		return state.Change.PermitOf(change.Of(change.Gateway, a.options.Name))
 	}
 	return nil
 }
 
-// Back says that this gateway takes clients again, by an operator's word.
-func (a *Agent) Back() {
-	p := a.Permit()
+// CancelDrain is called when an operator lets this gateway take clients again. It withdraws or returns the permit under
+// which the gateway drains.
+func (a *Agent) CancelDrain() {
+	permit := a.OwnPermit()
 	switch {
-	case p == nil || p.Holder != a.o.Name || p.Release != 0:
-	case p.Phase <= change.Granted: // it waits, and is not wanted any more
-		a.held.unwanted = p.ID
-		a.Propose("lapse", "", 0, change.PermitBody{ID: p.ID, Why: "its drain was taken back"}, nil)
-	case p.Phase == change.Used:
-		a.held.drain = 0
-		a.giveBack(p.ID)
+	case permit == nil || permit.Holder != a.options.Name || permit.Release != 0:
+	case permit.Phase <= change.Granted: // the permit is not in use yet and no longer wanted
+		a.permits.withdrawnPermit = permit.ID
+		a.Propose("lapse", "", 0, change.PermitBody{ID: permit.ID, Why: "its drain was taken back"}, nil)
+	case permit.Phase == change.Used:
+		a.permits.drainPermit = 0
+		a.returnOwnPermit(permit.ID)
 	}
 }
 
-// Failed says that a step of a release has come to nothing here: this gateway goes on as it was.
-func (a *Agent) Failed(why string) {
-	p := a.Permit()
-	if p == nil || p.Release == 0 || p.Phase != change.Used {
+// StepFailed is called when a step of a release has failed at this gateway, which goes on unchanged. It halts the
+// release.
+func (a *Agent) StepFailed(why string) {
+	permit := a.OwnPermit()
+	if permit == nil || permit.Release == 0 || permit.Phase != change.Used {
 		return
 	}
-	a.Propose("halt", "", 0, change.HaltBody{ID: p.Release, Reason: a.o.Name + ": " + why}, nil)
-	a.giveBack(p.ID)
+	a.Propose("halt", "", 0, change.HaltBody{ID: permit.Release, Reason: a.options.Name + ": " + why}, nil)
+	a.returnOwnPermit(permit.ID)
 }
 
-// Ending says that this process has been asked to end. Without a permit that is an emergency: it is named, and counts.
-func (a *Agent) Ending() {
-	if st := a.State(); st != nil && a.Permit() == nil && st.Change.Things[change.Of(change.Gateway, a.o.Name)] != nil {
-		a.Propose("ask", "", 0, &change.Permit{Things: []change.Thing{change.Of(change.Gateway, a.o.Name)}, Holder: a.o.Name, Emergency: true,
-			By: "SIGTERM", Why: "it was asked to end"}, nil)
+// ProcessEnding is called when this process has been asked to end. If it has no permit for that, it records an emergency
+// permit, so that the limits take its absence into account.
+func (a *Agent) ProcessEnding() {
+	if state := a.State(); state != nil && a.OwnPermit() == nil && state.Change.Things[change.Of(change.Gateway, a.options.Name)] != nil {
+		a.Propose("ask", "", 0, &change.Permit{Things: []change.Thing{change.Of(change.Gateway, a.options.Name)},
+			Holder: a.options.Name, Emergency: true, By: "SIGTERM", Why: "it was asked to end"}, nil)
 	}
 }
 
-// Wanted is what a gateway is to become by a step of a release that is under way, "" for nothing.
+// Wanted returns the version or configuration that a running release wants a gateway to change to, and the permit for
+// it; what is "" if there is none.
 func (a *Agent) Wanted(gateway string) (what, to string, permit uint64) {
-	if st := a.State(); st != nil {
-		return st.Change.Wanted(gateway)
+	if state := a.State(); state != nil {
+		return state.Change.Wanted(gateway)
 	}
 	return "", "", 0
 }
 
-// PermitOf is the permit that names a thing, nil if none does.
-func (a *Agent) PermitOf(t change.Thing) *change.Permit {
-	if st := a.State(); st != nil {
-		return st.Change.PermitOf(t)
+// PermitOf returns the permit that names a subject, nil if there is none.
+func (a *Agent) PermitOf(subject change.Thing) *change.Permit {
+	if state := a.State(); state != nil {
+		return state.Change.PermitOf(subject)
 	}
 	return nil
 }
 
-// Return says that the things of a permit may be used again, by an operator's word. done is called once, within a second.
-func (a *Agent) Return(p *change.Permit, by string, done func(string, error)) {
-	a.takeBack(p.ID, by, a.answerInTime(func(_ uint64, err error) { done("", err) }))
+// ReturnPermit ends a permit because an operator says that its subjects may be used again. done is called once, within a
+// second.
+func (a *Agent) ReturnPermit(permit *change.Permit, by string, done func(string, error)) {
+	a.withdrawPermit(permit.ID, by, a.withTimeout(func(_ uint64, err error) { done("", err) }))
 }
 
-// takeBack has a permit lapse or returned, as it stands when that is asked for. It may have been used before the entry was
-// applied, or wait again; then the entry has changed nothing, and the one that fits is proposed.
-func (a *Agent) takeBack(id uint64, by string, done func(uint64, error)) {
-	p, err := a.State().Change.TakeBack(id, a.host.Incarnation().Number, "taken back by "+by)
+// withdrawPermit proposes the entry that ends a permit in its present phase. If the permit changes its phase before that
+// entry is applied, the entry has no effect, and the entry that fits the new phase is proposed.
+func (a *Agent) withdrawPermit(id uint64, by string, done func(uint64, error)) {
+	withdrawal, err := a.State().Change.TakeBack(id, a.host.Incarnation().Number, "taken back by "+by)
 	if err != nil {
 		done(0, err)
 		return
 	}
-	a.Propose(p.Kind, by, 0, p.Body, func(index uint64, err error) {
-		if err != nil && a.otherwise(id, p) {
-			a.takeBack(id, by, done)
+	a.Propose(withdrawal.Kind, by, 0, withdrawal.Body, func(index uint64, err error) {
+		if err != nil && a.withdrawalChanged(id, withdrawal) {
+			a.withdrawPermit(id, by, done)
 			return
 		}
 		done(index, err)
 	})
 }
 
-// otherwise reports whether another entry than the one that was proposed would take a permit back now.
-func (a *Agent) otherwise(id uint64, proposed change.Proposal) bool {
+// withdrawalChanged reports whether ending a permit now takes another entry than the one that was proposed.
+func (a *Agent) withdrawalChanged(id uint64, proposed change.Proposal) bool {
 	now, err := a.State().Change.TakeBack(id, 0, "")
 	return err == nil && now.Kind != proposed.Kind
 }
 
-// Urgent says that something has been taken out without asking: it is named, and counts.
-func (a *Agent) Urgent(t change.Thing, holder, by, why string) {
-	a.log.Warn("taken out by an emergency word", zap.String("kind", t.Kind()), zap.String("name", t.Name()), zap.String("by", by), zap.String("why", why))
-	a.Propose("ask", by, 0, &change.Permit{Things: []change.Thing{t}, Holder: holder, Why: why, Emergency: true}, nil)
+// ReportEmergency records that an operator has taken a subject out of service without a permit. The emergency permit
+// makes the limits take its absence into account.
+func (a *Agent) ReportEmergency(subject change.Thing, holder, by, why string) {
+	a.log.Warn("taken out by an emergency word", zap.String("kind", subject.Kind()), zap.String("name", subject.Name()),
+		zap.String("by", by), zap.String("why", why))
+	a.Propose("ask", by, 0, &change.Permit{Things: []change.Thing{subject}, Holder: holder, Why: why, Emergency: true}, nil)
 }
 
-// Restarts are the workers that a release wants started anew now.
-func (a *Agent) Restarts() (ids []string) {
-	st := a.State()
-	if st == nil {
+// WorkersToRestart returns the workers that a release wants to be restarted now.
+func (a *Agent) WorkersToRestart() (ids []string) {
+	state := a.State()
+	if state == nil {
 		return nil
 	}
-	for _, p := range st.Change.Permits {
-		if p.Phase == change.Used && p.Release != 0 {
-			for _, t := range p.Things {
-				if t.Kind() == change.Worker {
-					ids = append(ids, t.Name())
+	for _, permit := range state.Change.Permits {
+		if permit.Phase == change.Used && permit.Release != 0 {
+			for _, subject := range permit.Things {
+				if subject.Kind() == change.Worker {
+					ids = append(ids, subject.Name())
 				}
 			}
 		}
--- a/internal/fleet/agreement/incarnations.go
+++ b/internal/fleet/agreement/incarnations.go
@@ -4,24 +4,24 @@
 	"quillrail/internal/fleet/member"
 )
 
-// incarnations are the highest life that was heard of a gateway, and the highest number before it: a process that asks may have been
-// heard of already, by another way.
-type incarnations struct {
+// incarnationRecord is the highest incarnation of a gateway that has been observed, and the highest number before it.
+// The latter is the answer to a query of that process, whose own incarnation may be known already from another message.
+type incarnationRecord struct {
 	member.Incarnation
 	Before uint64
 }
 
-// lived notes a life of another gateway, and returns the highest number that was known before it.
-func (a *Agent) lived(name string, l member.Incarnation) uint64 {
-	k, known := a.lives[name]
+// recordIncarnation records an incarnation of another gateway and returns the highest number that was known before it.
+func (a *Agent) recordIncarnation(name string, incarnation member.Incarnation) uint64 {
+	record, known := a.incarnations[name]
 	switch {
-	case name == a.o.Name || l.Number == 0 || !known && len(a.lives) >= maxLives:
-		return k.Number
-	case l == k.Incarnation:
-		return k.Before
-	case l.Compare(k.Incarnation) > 0:
-		a.lives[name] = incarnations{l, max(k.Number, k.Before)}
+	case name == a.options.Name || incarnation.Number == 0 || !known && len(a.incarnations) >= maxIncarnations:
+		return record.Number
+	case incarnation == record.Incarnation:
+		return record.Before
+	case incarnation.Compare(record.Incarnation) > 0:
+		a.incarnations[name] = incarnationRecord{incarnation, max(record.Number, record.Before)}
 		a.host.SaveSoon()
 	}
-	return k.Number
+	return record.Number
 }
--- a/internal/fleet/agreement/lead.go
+++ b/internal/fleet/agreement/lead.go
@@ -11,152 +11,156 @@
 )
 
 const (
-	fresh      = 1500 * time.Millisecond // a report that is older says nothing of now
-	forgetLead = 10 * time.Minute        // a gateway that was not heard of for so long is no candidate
-	driveFor   = 3 * time.Second         // for what was proposed to be applied
+	reportMaxAge       = 1500 * time.Millisecond // an older report may be outdated
+	forgetReportAfter  = 10 * time.Minute        // a gateway without a report for this long is no candidate for voter
+	leaderProposalWait = 3 * time.Second         // the leader waits this long for its proposals to be applied
 )
 
-// lastReport is the last report of a gateway.
-type lastReport struct {
+// receivedReport is the last report of a gateway.
+type receivedReport struct {
 	Report
-	at time.Duration
+	receivedAt time.Duration
 }
 
-// leader is what this gateway knows while it leads.
-type leader struct {
-	driver  *change.Driver
-	reports map[string]*lastReport
-	leads   bool
-	since   time.Duration
-	alone   time.Duration // without a majority before
-	waits   int           // proposals of the driver that have not been applied
-	asked   time.Duration
-	empty   map[string]time.Duration // halls in which nobody has seen a worker answer, since when
-	busy    map[string]time.Duration // and those in which somebody has
-	lost    map[string]time.Duration // when this gateway, as it led, has found a hall lost
-	turn    int
+// leaderState is what this gateway keeps while it is the leader.
+type leaderState struct {
+	driver              *change.Driver
+	reports             map[string]*receivedReport // by gateway
+	active              bool                       // this gateway is the leader and ready
+	since               time.Duration              // when it became the leader
+	noMajorityFor       time.Duration              // how long there was no majority before this gateway became the leader
+	unappliedProposals  int                        // own proposals as leader that have not been applied
+	proposedAt          time.Duration              // last time at which the leader looked for something to propose
+	seemsLostSince      map[string]time.Duration   // by hall, since when it has looked lost
+	seemsRecoveredSince map[string]time.Duration   // by hall, since when it has looked recovered
+	lostAt              map[string]time.Duration   // by hall, when this gateway, as the leader, last found it lost
+	iterations          int                        // calls of maintainVoters
 }
 
-func newLead() leader {
-	return leader{reports: map[string]*lastReport{}, empty: map[string]time.Duration{}, busy: map[string]time.Duration{}, lost: map[string]time.Duration{}}
+func newLeaderState() leaderState {
+	return leaderState{reports: map[string]*receivedReport{}, seemsLostSince: map[string]time.Duration{},
+		seemsRecoveredSince: map[string]time.Duration{}, lostAt: map[string]time.Duration{}}
 }
 
-func (l *leader) take(a *Agent, r Report) {
-	l.reports[r.Name] = &lastReport{Report: r, at: a.host.Now()}
+func (l *leaderState) addReport(a *Agent, r Report) {
+	l.reports[r.Name] = &receivedReport{Report: r, receivedAt: a.host.Now()}
 }
 
-// drive makes the fleet go on, where this gateway leads.
-func (a *Agent) drive(now time.Duration) {
-	l := &a.lead
-	if a.group == nil || !a.group.Caught() {
-		if l.leads = false; a.group != nil && !a.group.Leads() {
-			l.alone = 0
+// runLeader does the leader's work, if this gateway is the leader: it drives releases and permits, halls, voters and
+// freezes.
+func (a *Agent) runLeader(now time.Duration) {
+	lead := &a.lead
+	if a.group == nil || !a.group.LeaderReady() {
+		if lead.active = false; a.group != nil && !a.group.Leads() {
+			lead.noMajorityFor = 0
 			if age, ok := a.Age(); ok && a.group.Leader() == 0 {
-				l.alone = age
+				lead.noMajorityFor = age
 			}
 		}
 		return
 	}
-	if !l.leads {
-		l.leads, l.since, l.waits = true, now, 0
-		l.driver = change.NewDriver()
-		clear(l.reports)
-		clear(l.empty)
-		clear(l.lost)
-		for _, h := range a.State().Site.Down {
-			l.lost[h] = now
+	if !lead.active {
+		lead.active, lead.since, lead.unappliedProposals = true, now, 0
+		lead.driver = change.NewDriver()
+		clear(lead.reports)
+		clear(lead.seemsLostSince)
+		clear(lead.lostAt)
+		for _, hall := range a.State().Site.Down {
+			lead.lostAt[hall] = now
 		}
-		a.log.Info("this gateway leads the agreement", zap.Duration("alone", l.alone))
-		a.lead.take(a, a.seen(now))
+		a.log.Info("this gateway leads the agreement", zap.Duration("alone", lead.noMajorityFor))
+		a.lead.addReport(a, a.buildReport(now))
 	}
-	if now-l.since < 2*fresh || l.waits > 0 && now-l.asked < driveFor { // until all have reported to it
-		return
+	if now-lead.since < 2*reportMaxAge || lead.unappliedProposals > 0 && now-lead.proposedAt < leaderProposalWait {
+		return // a new leader waits until all gateways have reported to it
 	}
-	l.waits, l.asked = 0, now
-	st := a.State()
-	for _, p := range l.driver.Drive(st.Change, a.view(now)) {
-		a.put(p.Kind, p.Body)
+	lead.unappliedProposals, lead.proposedAt = 0, now
+	state := a.State()
+	for _, proposal := range lead.driver.Drive(state.Change, a.changeView(now)) {
+		a.proposeAsLeader(proposal.Kind, proposal.Body)
 	}
-	l.alone = 0
-	a.sites(st, now)
-	a.seats(st, now)
-	a.spans(st, now)
+	lead.noMajorityFor = 0
+	a.updateHalls(state, now)
+	a.maintainVoters(state, now)
+	a.renewSpans(state, now)
 }
 
-// put proposes something of the driver's own.
-func (a *Agent) put(kind string, body any) {
-	a.lead.waits++
-	a.Propose(kind, "", 0, body, func(uint64, error) { a.lead.waits-- })
+// proposeAsLeader proposes an entry as part of the leader's work.
+func (a *Agent) proposeAsLeader(kind string, body any) {
+	a.lead.unappliedProposals++
+	a.Propose(kind, "", 0, body, func(uint64, error) { a.lead.unappliedProposals-- })
 }
 
-// view is what all reports come to.
-func (a *Agent) view(now time.Duration) *change.View {
-	l, st := &a.lead, a.State()
-	v := &change.View{Context: change.Context{Index: st.Index, At: max(now.Milliseconds(), st.At)}, Self: a.o.Name, Things: map[change.Thing]change.Observation{},
-		Samples: map[string]change.Sample{}, Classes: len(a.o.Classes), Lonely: l.alone.Milliseconds()}
-	v.Only = map[change.Thing]int{}
+// changeView combines the recent reports into the view that the change driver works on.
+func (a *Agent) changeView(now time.Duration) *change.View {
+	lead, state := &a.lead, a.State()
+	view := &change.View{Context: change.Context{Index: state.Index, At: max(now.Milliseconds(), state.At)}, Self: a.options.Name,
+		Things: map[change.Thing]change.Observation{}, Samples: map[string]change.Sample{},
+		Classes: len(a.options.Classes), Lonely: lead.noMajorityFor.Milliseconds()}
+	view.Only = map[change.Thing]int{}
 	there, elsewhere := map[string]map[string]bool{}, map[string]map[string]bool{}
-	for name, r := range l.reports {
-		if now-r.at > fresh {
+	for name, report := range lead.reports {
+		if now-report.receivedAt > reportMaxAge {
 			continue
 		}
-		v.Load += r.Load
-		h := change.Cold
+		view.Load += report.Load
+		health := change.Cold
 		switch {
-		case !r.Serving:
-			h = change.Out
-		case r.Warm:
-			h = change.Well
+		case !report.Serving:
+			health = change.Out
+		case report.Warm:
+			health = change.Well
 		}
-		v.Things[change.Of(change.Gateway, name)] = change.Observation{Hall: r.Hall, Health: h, Life: r.Life, Version: r.Version, Config: r.Config,
-			Witnesses: l.witnesses(st, name, r.Life, now)}
-		v.Samples[name] = change.Sample{Hall: r.Hall, Counts: change.Counts{Life: r.Life, Classes: r.Classes}}
-		for _, c := range r.Copies {
+		view.Things[change.Of(change.Gateway, name)] = change.Observation{Hall: report.Hall, Health: health, Life: report.Incarnation,
+			Version: report.Version, Config: report.Config, Witnesses: lead.witnesses(state, name, report.Incarnation, now)}
+		view.Samples[name] = change.Sample{Hall: report.Hall, Counts: change.Counts{Life: report.Incarnation, Classes: report.Classes}}
+		for _, copies := range report.Copies {
 			note := func(all map[string]map[string]bool, functions []string) {
-				if all[c.Worker] == nil {
-					all[c.Worker] = map[string]bool{}
+				if all[copies.Worker] == nil {
+					all[copies.Worker] = map[string]bool{}
 				}
-				for _, f := range functions {
-					all[c.Worker][f] = true
+				for _, function := range functions {
+					all[copies.Worker][function] = true
 				}
 			}
-			note(there, c.There)
-			note(elsewhere, c.Elsewhere)
+			note(there, copies.There)
+			note(elsewhere, copies.Elsewhere)
 		}
 	}
-	for w, all := range there {
-		for f := range all {
-			if !elsewhere[w][f] {
-				v.Only[change.Of(change.Worker, w)]++
+	for worker, all := range there {
+		for function := range all {
+			if !elsewhere[worker][function] {
+				view.Only[change.Of(change.Worker, worker)]++
 			}
 		}
 	}
-	l.workers(st, v, now)
-	c := a.clock()
-	if p := st.Freeze.Forbids("releases", nil, c); p != nil {
-		v.Frozen = p.Name
+	lead.combineWorkerReports(state, view, now)
+	clock := a.clock()
+	if period := state.Freeze.Forbids("releases", nil, clock); period != nil {
+		view.Frozen = period.Name
 	}
-	for _, p := range st.Freeze.Periods {
-		if next, ok := p.NextStart(c.At); ok && p.Covers("releases", nil) {
-			if in := next.Sub(c.At).Milliseconds() - st.Rules.ClockBoundMs; v.FreezeIn == 0 || in < v.FreezeIn {
-				v.FreezeIn = max(1, in)
+	for _, period := range state.Freeze.Periods {
+		if next, ok := period.NextStart(clock.At); ok && period.Covers("releases", nil) {
+			if in := next.Sub(clock.At).Milliseconds() - state.Rules.ClockBoundMs; view.FreezeIn == 0 || in < view.FreezeIn {
+				view.FreezeIn = max(1, in)
 			}
 		}
 	}
-	return v
+	return view
 }
 
-// witnesses are the gateways that see another one serve in a life.
-func (l *leader) witnesses(st *replog.State, name string, life uint64, now time.Duration) (out []string) {
-	t := change.Of(change.Gateway, name)
-	k := st.Change.Things[t]
-	agreed := k != nil && k.Health == change.Well && k.Life == life && st.Change.PermitOf(t) == nil
-	for other, r := range l.reports {
-		if other == name || now-r.at > fresh {
+// witnesses returns the gateways that see another gateway serve in a given incarnation. A gateway that does not mention
+// it sees it as agreed.
+func (l *leaderState) witnesses(state *replog.State, name string, incarnation uint64, now time.Duration) (out []string) {
+	subject := change.Of(change.Gateway, name)
+	known := state.Change.Things[subject]
+	agreed := known != nil && known.Health == change.Well && known.Life == incarnation && state.Change.PermitOf(subject) == nil
+	for other, report := range l.reports {
+		if other == name || now-report.receivedAt > reportMaxAge {
 			continue
 		}
-		i := slices.IndexFunc(r.Gateways, func(g GatewaySeen) bool { return g.Name == name })
-		if i >= 0 && r.Gateways[i].Serving && r.Gateways[i].Life == life || i < 0 && agreed {
+		i := slices.IndexFunc(report.Gateways, func(g GatewayObservation) bool { return g.Name == name })
+		if i >= 0 && report.Gateways[i].Serving && report.Gateways[i].Incarnation == incarnation || i < 0 && agreed {
 			out = append(out, other)
 		}
 	}
@@ -164,75 +168,78 @@
 	return out
 }
 
-// workers puts together what is seen of workers: out by the list of anybody, or by the judgement of half of those who
-// report; cold if anybody finds it so.
-func (l *leader) workers(st *replog.State, v *change.View, now time.Duration) {
+// combineWorkerReports combines the observations of workers. A worker is out if any gateway's list says so, or if at
+// least half of the reporting gateways judge so; it is cold if any gateway judges so and fewer than two witness that it
+// is well.
+func (l *leaderState) combineWorkerReports(state *replog.State, view *change.View, now time.Duration) {
 	type tally struct {
 		well           []string
 		cold, out, all int
 		byList         bool
-		last           WorkerSeen
+		last           WorkerObservation
 	}
 	seen := map[string]*tally{}
 	reports := 0
-	for _, name := range sorted(l.reports) {
-		r := l.reports[name]
-		if now-r.at > fresh {
+	for _, name := range sortedKeys(l.reports) {
+		report := l.reports[name]
+		if now-report.receivedAt > reportMaxAge {
 			continue
 		}
 		reports++
-		for _, w := range r.Workers {
-			t := seen[w.ID]
+		for _, worker := range report.Workers {
+			t := seen[worker.ID]
 			if t == nil {
 				t = &tally{}
-				seen[w.ID] = t
+				seen[worker.ID] = t
 			}
-			if w.Start >= t.last.Start {
-				t.last = w
+			if worker.Start >= t.last.Start {
+				t.last = worker
 			}
 			t.all++
 			switch {
-			case w.ByList:
+			case worker.ByList:
 				t.byList = true
-			case w.Health == change.Out:
+			case worker.Health == change.Out:
 				t.out++
-			case w.Health == change.Cold:
+			case worker.Health == change.Cold:
 				t.cold++
 			default:
 				t.well = append(t.well, name)
 			}
 		}
 	}
-	for t, k := range st.Change.Things {
-		if t.Kind() != change.Worker {
+	for subject, known := range state.Change.Things {
+		if subject.Kind() != change.Worker {
 			continue
 		}
-		if _, named := seen[t.Name()]; !named && reports > 0 {
-			v.Things[t] = change.Observation{Hall: k.Hall, Health: k.Health, Life: k.Life}
-			if k.Health == change.Well {
-				x := v.Things[t]
-				x.Witnesses = sorted(l.reports)
-				v.Things[t] = x
+		if _, named := seen[subject.Name()]; !named && reports > 0 {
+			view.Things[subject] = change.Observation{Hall: known.Hall, Health: known.Health, Life: known.Life}
+			if known.Health == change.Well {
+				observation := view.Things[subject]
+				observation.Witnesses = sortedKeys(l.reports)
+				view.Things[subject] = observation
 			}
 		}
 	}
 	for id, t := range seen {
-		k := st.Change.Things[change.Of(change.Worker, id)]
-		x := change.Observation{Hall: t.last.Hall, Life: t.last.Start, Health: change.Well, Witnesses: t.well}
-		silent := reports - t.all // they see what the log has
-		if k != nil && k.Health == change.Well && st.Change.PermitOf(change.Of(change.Worker, id)) == nil && k.Life == t.last.Start {
-			for _, name := range sorted(l.reports) {
-				if r := l.reports[name]; now-r.at <= fresh && !slices.ContainsFunc(r.Workers, func(w WorkerSeen) bool { return w.ID == id }) {
-					x.Witnesses = append(x.Witnesses, name)
+		known := state.Change.Things[change.Of(change.Worker, id)]
+		observation := change.Observation{Hall: t.last.Hall, Life: t.last.Start, Health: change.Well, Witnesses: t.well}
+		silent := reports - t.all // gateways that see the worker as agreed do not report it
+		if known != nil && known.Health == change.Well && state.Change.PermitOf(change.Of(change.Worker, id)) == nil &&
+			known.Life == t.last.Start {
+			for _, name := range sortedKeys(l.reports) {
+				if report := l.reports[name]; now-report.receivedAt <= reportMaxAge &&
+					!slices.ContainsFunc(report.Workers, func(worker WorkerObservation) bool { return worker.ID == id }) {
+					observation.Witnesses = append(observation.Witnesses, name)
 				}
 			}
 		}
 		switch {
 		case t.byList, 2*t.out >= max(1, t.all+silent):
-			x.Health = change.Out
-		case t.cold > 0 && len(x.Witnesses) < 2:
-			x.Health = change.Cold
+			observation.Health = change.Out
+		case t.cold > 0 && len(observation.Witnesses) < 2:
+			observation.Health = change.Cold
 		}
-		v.Things[change.Of(change.Worker, id)] = x
+		view.Things[change.Of(change.Worker, id)] = observation
 	}
 }
--- a/internal/fleet/agreement/logdisk.go
+++ b/internal/fleet/agreement/logdisk.go
@@ -11,57 +11,57 @@
 	"quillrail/internal/fleet/store"
 )
 
-// The keys of the log on disk.
+// Keys of the log on disk.
 const (
 	keyID   = "agree/id"
 	keyHard = "agree/hard"
 	keySnap = "agree/snap"
 )
 
-// diskOf is the log that was on disk, nil if there is none.
-func diskOf(found map[string][]byte) *replog.Disk {
-	d := &replog.Disk{Hard: found[keyHard], Snap: found[keySnap], Entries: map[uint64][]byte{}}
-	if d.Hard == nil && d.Snap == nil || msgpack.Unmarshal(found[keyID], &d.ID) != nil || d.ID == 0 {
+// readStoredLog returns the log that was found on disk, nil if there is none.
+func readStoredLog(found map[string][]byte) *replog.Disk {
+	disk := &replog.Disk{Hard: found[keyHard], Snap: found[keySnap], Entries: map[uint64][]byte{}}
+	if disk.Hard == nil && disk.Snap == nil || msgpack.Unmarshal(found[keyID], &disk.ID) != nil || disk.ID == 0 {
 		return nil
 	}
 	for key, b := range found {
 		if text, ok := strings.CutPrefix(key, store.LogPrefix); ok {
 			if i, err := strconv.ParseUint(text, 16, 64); err == nil {
-				d.Entries[i] = b
+				disk.Entries[i] = b
 			}
 		}
 	}
-	return d
+	return disk
 }
 
-// persist has a write of the log on disk, whole, before done is called on the turn.
-func (a *Agent) persist(w *replog.Write, done func()) {
-	id, err := msgpack.Marshal(a.id)
+// persist writes to the log on disk. done is called on the event loop once the whole write is on disk.
+func (a *Agent) persist(write *replog.Write, done func()) {
+	id, err := msgpack.Marshal(a.voterID)
 	if err != nil || a.host.Store() == nil {
-		a.fail(fmt.Errorf("agree: there is no disk to hold the log on: %w", err))
+		a.abandonLog(fmt.Errorf("agree: this gateway has no disk for the log: %w", err))
 		return
 	}
 	entries := map[string][]byte{keyID: id}
-	if w.Hard != nil {
-		entries[keyHard] = w.Hard
+	if write.Hard != nil {
+		entries[keyHard] = write.Hard
 	}
-	if w.Snap != nil {
-		entries[keySnap] = w.Snap
+	if write.Snap != nil {
+		entries[keySnap] = write.Snap
 	}
-	for i, b := range w.Entries {
+	for i, b := range write.Entries {
 		entries[logKey(i)] = b
 		if b != nil {
-			a.span(i)
+			a.noteLogIndex(i)
 		}
 	}
 	group := a.group
 	a.host.Store().Write(entries, func(err error) {
 		a.host.Loop().Post(func() {
-			if a.group != group { // given up meanwhile
+			if a.group != group { // abandoned in the meantime
 				return
 			}
 			if err != nil {
-				a.fail(err)
+				a.abandonLog(err)
 				return
 			}
 			done()
@@ -69,13 +69,13 @@
 	})
 }
 
-// logKey is the key on disk of an entry of the log.
+// logKey returns the key on disk of a log entry.
 func logKey(index uint64) string { return fmt.Sprintf("%s%016x", store.LogPrefix, index) }
 
-// span notes that an entry of the log is on disk.
-func (a *Agent) span(i uint64) {
-	if a.logHi < a.logLo || a.logHi == 0 {
-		a.logLo, a.logHi = i, i
+// noteLogIndex notes that a log entry may be on disk.
+func (a *Agent) noteLogIndex(index uint64) {
+	if a.lastLogIndex < a.firstLogIndex || a.lastLogIndex == 0 {
+		a.firstLogIndex, a.lastLogIndex = index, index
 	}
-	a.logLo, a.logHi = min(a.logLo, i), max(a.logHi, i)
+	a.firstLogIndex, a.lastLogIndex = min(a.firstLogIndex, index), max(a.lastLogIndex, index)
 }
--- a/internal/fleet/agreement/membership.go
+++ b/internal/fleet/agreement/membership.go
@@ -8,33 +8,35 @@
 	"quillrail/internal/fleet/replog"
 )
 
-// seats sees to those who vote: one change at a time.
-func (a *Agent) seats(st *replog.State, now time.Duration) {
-	l := &a.lead
-	if l.turn++; l.turn%10 != 0 {
+// maintainVoters proposes the next voter change, if one is due. It looks every tenth time that it is called.
+func (a *Agent) maintainVoters(state *replog.State, now time.Duration) {
+	lead := &a.lead
+	if lead.iterations++; lead.iterations%10 != 0 {
 		return
 	}
-	var all []replog.Candidate
-	for name, r := range l.reports {
-		if now-r.at > forgetLead {
-			delete(l.reports, name)
+	var candidates []replog.Candidate
+	for name, report := range lead.reports {
+		if now-report.receivedAt > forgetReportAfter {
+			delete(lead.reports, name)
 			continue
 		}
-		c := replog.Candidate{Name: name, Hall: r.Hall, ID: r.ID, Up: now-r.at <= fresh, DownFor: (now - r.at).Milliseconds()}
-		c.Behind, c.Listens = a.group.Behind(r.ID)
-		all = append(all, c)
+		candidate := replog.Candidate{Name: name, Hall: report.Hall, ID: report.ID, Up: now-report.receivedAt <= reportMaxAge,
+			DownForMs: (now - report.receivedAt).Milliseconds()}
+		candidate.Behind, candidate.Responsive = a.group.Behind(report.ID)
+		candidates = append(candidates, candidate)
 	}
-	for _, v := range st.Voters { // one that was never heard of counts from the begin of this lead on
-		if _, ok := l.reports[v.Name]; !ok {
-			all = append(all, replog.Candidate{Name: v.Name, Hall: v.Hall, ID: v.ID, DownFor: (now - l.since).Milliseconds()})
+	for _, v := range state.Voters { // a voter that has never reported counts as down since this gateway became the leader
+		if _, ok := lead.reports[v.Name]; !ok {
+			candidates = append(candidates, replog.Candidate{Name: v.Name, Hall: v.Hall, ID: v.ID,
+				DownForMs: (now - lead.since).Milliseconds()})
 		}
 	}
-	s := replog.Membership{Want: a.o.Votes, LostMs: a.o.Replace.Milliseconds()}
-	if v, gone, ok := s.Next(st, a.group.ID(), all); ok {
+	membership := replog.Membership{TargetVoters: a.options.TargetVoters, LostAfterMs: a.options.ReplaceAfter.Milliseconds()}
+	if v, remove, ok := membership.Next(state, a.group.ID(), candidates); ok {
 		v.At = now.Milliseconds()
-		a.log.Info("who votes is changed", zap.String("gateway", v.Name), zap.Bool("learner", v.Learner), zap.Bool("removed", gone))
-		if err := a.group.Change(v, gone); err != nil {
-			a.log.Info("who votes is not changed yet", zap.Error(err))
+		a.log.Info("proposing a voter change", zap.String("gateway", v.Name), zap.Bool("learner", v.Learner), zap.Bool("removed", remove))
+		if err := a.group.ProposeVoterChange(v, remove); err != nil {
+			a.log.Info("voter change not proposed", zap.Error(err))
 		}
 		a.pump()
 	}
--- a/internal/fleet/agreement/messages.go
+++ b/internal/fleet/agreement/messages.go
@@ -9,107 +9,107 @@
 	"quillrail/internal/fleet/replog"
 )
 
-// The kinds of note.
+// The kinds of message.
 const (
-	messageLifeQuestion = iota + 1 // which life of mine do you know?
-	messageLifeAnswer              // this one
-	messageRaft                    // between voters
-	messageFollow                  // what comes after this entry?
-	messageEntries                 // these
-	messageState                   // all that there is
-	messageHeartbeat               // what was told is current
-	messagePropose                 // an entry, for who leads
-	messageReport                  // what a gateway sees
-	messageNotLeader               // I don't lead, this one does
-	messageEra                     // the agreement has been begun anew
+	messageIncarnationQuery  = iota + 1 // asks which incarnation of the sender another gateway knows of
+	messageIncarnationAnswer            // the answer
+	messageRaft                         // a message of raft between voters
+	messageFollow                       // a follower requests the entries after Index
+	messageEntries                      // entries for a follower
+	messageState                        // the whole state for a follower
+	messageHeartbeat                    // confirms to a follower that what it received is current
+	messagePropose                      // a proposed entry for the leader
+	messageReport                       // a gateway's Report for the leader
+	messageNotLeader                    // the sender is not the leader, Name is
+	messageEra                          // the log has been rebuilt in a new era
 )
 
-// message is a message of this part at another gateway.
+// message is a message between the agreement parts of two gateways.
 type message struct {
-	Kind    int      `msgpack:"k"`
-	Life    uint64   `msgpack:"l,omitempty"` // of the asker, that is known
-	Tag     uint64   `msgpack:"g,omitempty"` // of that life
-	ID      uint64   `msgpack:"d,omitempty"` // of the sender's disk
-	Index   uint64   `msgpack:"i,omitempty"` // of an entry
-	Hash    uint64   `msgpack:"h,omitempty"` // of the state at Index
-	AgeMs   int64    `msgpack:"a,omitempty"`
-	At      int64    `msgpack:"t,omitempty"` // the sender's clock, Unix ms
-	Name    string   `msgpack:"n,omitempty"` // who leads
-	Era     uint64   `msgpack:"r,omitempty"` // of what the sender knows
-	Body    []byte   `msgpack:"b,omitempty"`
-	Entries [][]byte `msgpack:"e,omitempty"`
+	Kind        int      `msgpack:"k"`
+	Incarnation uint64   `msgpack:"l,omitempty"` // the asking gateway's incarnation; in an answer, the highest number known before it
+	Tag         uint64   `msgpack:"g,omitempty"` // tag of that incarnation
+	ID          uint64   `msgpack:"d,omitempty"` // the sender's voter ID
+	Index       uint64   `msgpack:"i,omitempty"` // index of an entry
+	Hash        uint64   `msgpack:"h,omitempty"` // hash of the state at Index
+	AgeMs       int64    `msgpack:"a,omitempty"` // age of the sender's state
+	At          int64    `msgpack:"t,omitempty"` // the sender's clock, Unix ms
+	Name        string   `msgpack:"n,omitempty"` // the leader
+	Era         uint64   `msgpack:"r,omitempty"` // era of the sender's state
+	Body        []byte   `msgpack:"b,omitempty"`
+	Entries     [][]byte `msgpack:"e,omitempty"`
 }
 
-func (a *Agent) send(to string, x message) bool {
-	if st := a.State(); st != nil {
-		x.Era = st.Era
+func (a *Agent) send(to string, msg message) bool {
+	if state := a.State(); state != nil {
+		msg.Era = state.Era
 	}
-	b, err := msgpack.Marshal(&x)
+	body, err := msgpack.Marshal(&msg)
 	if err != nil {
-		a.log.Error("a message can't be told", zap.Error(err))
+		a.log.Error("message cannot be encoded", zap.Error(err))
 		return false
 	}
-	return a.host.Send(to, b)
+	return a.host.Send(to, body)
 }
 
-// Receive takes a message of the same part at another gateway.
-func (a *Agent) Receive(m fleet.Received) {
-	if m.Channel != fleet.Message || a.stopped || m.From == "" {
+// Receive handles a message of the agreement part of another gateway.
+func (a *Agent) Receive(received fleet.Received) {
+	if received.Channel != fleet.Message || a.stopped || received.From == "" {
 		return
 	}
-	var x message
-	if err := msgpack.Unmarshal(m.Body, &x); err != nil {
-		a.log.Warn("what another gateway says of the agreement is not understood", zap.String("gateway", m.From), zap.Error(err))
+	var msg message
+	if err := msgpack.Unmarshal(received.Body, &msg); err != nil {
+		a.log.Warn("message of another gateway cannot be decoded", zap.String("gateway", received.From), zap.Error(err))
 		return
 	}
-	a.eraSeen(m.From, x)
-	switch x.Kind {
-	case messageLifeQuestion:
-		st := a.State()
-		y := message{Kind: messageLifeAnswer, Life: a.lived(m.From, member.Incarnation{Number: x.Life, Tag: x.Tag}), ID: a.id}
-		if st != nil {
-			y.Index = st.Index
+	a.handleEra(received.From, msg)
+	switch msg.Kind {
+	case messageIncarnationQuery:
+		state := a.State()
+		reply := message{Kind: messageIncarnationAnswer,
+			Incarnation: a.recordIncarnation(received.From, member.Incarnation{Number: msg.Incarnation, Tag: msg.Tag}), ID: a.voterID}
+		if state != nil {
+			reply.Index = state.Index
 		}
-		if a.mine != nil && a.group == nil && y.Index == 0 {
-			y.Index = 1
+		if a.storedLog != nil && a.group == nil && reply.Index == 0 {
+			reply.Index = 1
 		}
-		a.send(m.From, y)
-	case messageLifeAnswer:
-		a.claimed(m.From, x)
+		a.send(received.From, reply)
+	case messageIncarnationAnswer:
+		a.handleIdentityAnswer(received.From, msg)
 	case messageRaft:
-		a.raft(m.From, x.Body)
+		a.handleRaftMessage(received.From, msg.Body)
 	case messageFollow:
-		a.followed(m.From, x)
+		a.handleFollow(received.From, msg)
 	case messageEntries, messageState, messageHeartbeat:
-		a.fed(m.From, x)
+		a.handleUpdate(received.From, msg)
 	case messagePropose:
-		a.offered(m.From, x)
+		a.handleProposal(received.From, msg)
 	case messageReport:
-		a.reported(m.From, x)
+		a.handleReport(received.From, msg)
 	case messageNotLeader:
-		if a.leader = x.Name; a.leader == a.o.Name {
-			a.leader = ""
+		if a.reportedLeader = msg.Name; a.reportedLeader == a.options.Name {
+			a.reportedLeader = ""
 		}
 	}
 }
 
-// Raft's own messages.
-
-func (a *Agent) raft(from string, b []byte) {
+// handleRaftMessage handles a raft message. It makes this gateway a learner if it has no log yet.
+func (a *Agent) handleRaftMessage(from string, b []byte) {
 	if a.group == nil {
-		if a.claim != nil || a.failedLately() { // it is not known yet whether this disk may vote
+		if a.eligibility != nil || a.failedRecently() { // undecided whether the stored log may be used, or just abandoned
 			return
 		}
-		g, err := replog.Learn(a.o.Name, a.id, a.applied)
+		group, err := replog.OpenLearner(a.options.Name, a.voterID, a.handleApplied)
 		if err != nil {
-			a.log.Error("the log can't be learnt", zap.Error(err))
+			a.log.Error("cannot start as a learner of the log", zap.Error(err))
 			return
 		}
-		if g.Step(b) != nil { // it was not for this disk
+		if group.Step(b) != nil { // the message is for another voter ID
 			return
 		}
-		a.log.Info("this gateway is taken in among those that hold the log", zap.String("by", from))
-		a.group = g
+		a.log.Info("this gateway was added to those that replicate the log", zap.String("by", from))
+		a.group = group
 		a.pump()
 		return
 	}
@@ -119,65 +119,65 @@
 	a.pump()
 }
 
-// pump does what the group wants done.
+// pump carries out what the group wants done.
 func (a *Agent) pump() {
 	for a.group != nil && !a.writing {
 		out, err := a.group.Ready()
 		if err != nil {
-			a.fail(err)
+			a.abandonLog(err)
 			return
 		}
 		if out == nil {
 			return
 		}
 		if out.Write == nil {
-			a.post(out)
+			a.sendAndApply(out)
 			continue
 		}
 		a.writing = true
-		g := a.group
+		group := a.group
 		a.persist(out.Write, func() {
-			if a.group != g { // given up meanwhile
+			if a.group != group { // abandoned in the meantime
 				return
 			}
 			a.writing = false
-			a.post(out)
+			a.sendAndApply(out)
 			a.pump()
 		})
 	}
 }
 
-// post sends what may be sent now that it is on disk, and takes what is agreed.
-func (a *Agent) post(out *replog.Output) {
-	for _, m := range out.Mail {
-		if name := a.nameOf(m.To); name != "" {
-			a.send(name, message{Kind: messageRaft, Body: m.Body})
+// sendAndApply sends the messages of an output whose write is on disk, and applies the committed entries.
+func (a *Agent) sendAndApply(out *replog.Output) {
+	for _, envelope := range out.Messages {
+		if name := a.gatewayOfVoter(envelope.To); name != "" {
+			a.send(name, message{Kind: messageRaft, Body: envelope.Body})
 		}
 	}
 	more, err := a.group.Written()
 	if err != nil {
-		a.fail(err)
+		a.abandonLog(err)
 		return
 	}
 	if more != nil {
 		a.persist(more, func() {})
 	}
 	if a.group.Removed() {
-		a.leave()
+		a.stopVoting()
 	}
 }
 
-// nameOf is the gateway of a voter's number.
-func (a *Agent) nameOf(id uint64) string {
-	if st := a.State(); st != nil {
-		for _, v := range st.Voters {
+// gatewayOfVoter returns the name of the gateway with the given voter ID, "" if it is unknown.
+func (a *Agent) gatewayOfVoter(id uint64) string {
+	if state := a.State(); state != nil {
+		for _, v := range state.Voters {
 			if v.ID == id {
 				return v.Name
 			}
 		}
 	}
-	for name, k := range a.known {
-		if k.id == id {
+	for name, answer := range a.answers {
+		if answer.voterID == id {
 			return name
 		}
 	}
--- a/internal/fleet/agreement/observations.go
+++ b/internal/fleet/agreement/observations.go
@@ -8,20 +8,20 @@
 	"quillrail/internal/fleet/change"
 )
 
-// observations is what this gateway sees.
+// observations collects what this gateway observes of workers and calls.
 type observations struct {
-	members  map[string]core.Member
-	answered map[string]time.Duration
-	tallies  []change.Tally
-	uses     []float64
-	calls    float64
-	load     float64
-	use      []float64
-	at       time.Duration
+	members    map[string]core.Member   // the worker list, by name
+	answeredAt map[string]time.Duration // by worker, when it last answered
+	tallies    []change.Tally           // by class
+	callCounts []float64                // calls since measuredAt, by tenant * classes + class
+	calls      float64                  // all calls since measuredAt
+	load       float64                  // calls/s, averaged over loadWindow
+	callRates  []float64                // calls/s, averaged over loadWindow, indexed like callCounts
+	measuredAt time.Duration
 }
 
 func newObservations() observations {
-	return observations{members: map[string]core.Member{}, answered: map[string]time.Duration{}}
+	return observations{members: map[string]core.Member{}, answeredAt: map[string]time.Duration{}}
 }
 
 func (s *observations) updateMembers(whole bool, members []core.Member) {
@@ -31,64 +31,64 @@
 	for _, m := range members {
 		if m.State == decide.Gone {
 			delete(s.members, m.Name)
-			delete(s.answered, m.Name)
+			delete(s.answeredAt, m.Name)
 		} else {
 			s.members[m.Name] = m
 		}
 	}
 }
 
-func (s *observations) observe(a *Agent, r core.Record) {
-	t := s.count(a, r.Call.Class, r.Answer)
-	if t == nil {
+func (s *observations) observe(a *Agent, record core.Record) {
+	tally := s.count(a, record.Call.Class, record.Answer)
+	if tally == nil {
 		return
 	}
-	if i := r.Call.Tenant*len(a.o.Classes) + r.Call.Class; i >= 0 && i < len(s.uses) {
-		s.uses[i]++
+	if i := record.Call.Tenant*len(a.options.Classes) + record.Call.Class; i >= 0 && i < len(s.callCounts) {
+		s.callCounts[i]++
 	}
-	if r.Answer == "served" {
-		t.Took[change.Bucket(float64(r.End-r.Start)/float64(time.Millisecond))]++
-		s.answered[r.Host] = r.End
+	if record.Answer == "served" {
+		tally.Took[change.Bucket(float64(record.End-record.Start)/float64(time.Millisecond))]++
+		s.answeredAt[record.Host] = record.End
 	}
 }
 
-// count notes how a call was answered, and returns the tally of its class, nil if it has none.
+// count counts how a call was answered, and returns the tally of its class, nil for an unknown class.
 func (s *observations) count(a *Agent, class int, answer string) *change.Tally {
 	if s.tallies == nil {
-		s.tallies = make([]change.Tally, len(a.o.Classes))
-		s.uses = make([]float64, len(a.o.Classes)*max(1, len(a.o.Tenants)))
+		s.tallies = make([]change.Tally, len(a.options.Classes))
+		s.callCounts = make([]float64, len(a.options.Classes)*max(1, len(a.options.Tenants)))
 	}
 	if class < 0 || class >= len(s.tallies) {
 		return nil
 	}
-	t := &s.tallies[class]
+	tally := &s.tallies[class]
 	s.calls++
 	switch answer {
 	case "served":
-		t.Served++
+		tally.Served++
 	case "refused":
-		t.Shed++
+		tally.Shed++
 	case "failed":
-		t.Failed++
+		tally.Failed++
 	}
-	return t
+	return tally
 }
 
-// measure brings the load up to date.
+// measure updates the load and the call rates.
 func (s *observations) measure(now time.Duration) {
-	d := (now - s.at).Seconds()
-	if s.at == 0 || d <= 0 {
-		s.at = now
+	elapsed := (now - s.measuredAt).Seconds()
+	if s.measuredAt == 0 || elapsed <= 0 {
+		s.measuredAt = now
 		return
 	}
-	part := min(1, d/loadFor.Seconds())
-	s.load += part * (s.calls/d - s.load)
-	if s.use == nil {
-		s.use = make([]float64, len(s.uses))
+	weight := min(1, elapsed/loadWindow.Seconds())
+	s.load += weight * (s.calls/elapsed - s.load)
+	if s.callRates == nil {
+		s.callRates = make([]float64, len(s.callCounts))
 	}
-	for i := range s.use {
-		s.use[i] += part * (s.uses[i]/d - s.use[i])
-		s.uses[i] = 0
+	for i := range s.callRates {
+		s.callRates[i] += weight * (s.callCounts[i]/elapsed - s.callRates[i])
+		s.callCounts[i] = 0
 	}
-	s.calls, s.at = 0, now
+	s.calls, s.measuredAt = 0, now
 }
--- a/internal/fleet/agreement/propose.go
+++ b/internal/fleet/agreement/propose.go
@@ -11,72 +11,73 @@
 )
 
 const (
-	sayAgain    = 400 * time.Millisecond // a proposal that has not been applied is told again
-	mostOpen    = 32                     // of a gateway, below what a log remembers of each
-	proposeFor  = 30 * time.Second       // then it is given up; it may be applied all the same
-	urgentFor   = time.Hour              // what has been done already is told on healing, however late
-	askOperator = 800 * time.Millisecond // an operator is answered by then
+	resendAfter         = 400 * time.Millisecond // time after which a proposal that has not been applied is sent again
+	maxPendingProposals = 32                     // must be less than replog remembers of each gateway
+	proposalTimeout     = 30 * time.Second       // time after which a proposal is given up; it may still be applied later
+	emergencyTimeout    = time.Hour              // the same for emergencies, to be recorded even after a long partition
+	operatorTimeout     = 800 * time.Millisecond // time after which an operator gets an answer
 )
 
-// proposal is an entry on its way.
+// proposal is an entry that this gateway has proposed and that has not been applied here.
 type proposal struct {
-	entry *replog.Entry
-	raw   []byte
-	at    time.Duration
-	said  time.Duration
-	until time.Duration
-	done  func(index uint64, err error)
+	entry     *replog.Entry
+	raw       []byte
+	createdAt time.Duration
+	sentAt    time.Duration
+	deadline  time.Duration
+	done      func(index uint64, err error)
 }
 
-// Propose has an entry proposed. done is called on the turn once it has been applied here, with the reason if it changed
-// nothing, or with an error if it is not known what became of it.
+// Propose proposes an entry. done is called on the event loop: once the entry has been applied here, with the reason if
+// it changed nothing; or with an error if its outcome is unknown.
 func (a *Agent) Propose(kind, by string, except uint64, body any, done func(index uint64, err error)) {
 	if done == nil {
 		done = func(uint64, error) {}
 	}
-	b, err := msgpack.Marshal(body)
-	if err != nil || len(a.open) >= mostOpen {
-		done(0, fmt.Errorf("%d proposals are under way; %w", len(a.open), err))
+	encoded, err := msgpack.Marshal(body)
+	if err != nil || len(a.pending) >= maxPendingProposals {
+		done(0, fmt.Errorf("%d proposals are under way; %w", len(a.pending), err))
 		return
 	}
 	a.seq++
-	e := &replog.Entry{V: 1, From: a.o.Name, Life: a.host.Incarnation().Number, Seq: a.seq, By: by, Except: except, Kind: kind, Body: b}
-	if err := e.Check(); err != nil {
+	entry := &replog.Entry{FormatVersion: 1, From: a.options.Name, Incarnation: a.host.Incarnation().Number, Seq: a.seq,
+		By: by, Except: except, Kind: kind, Body: encoded}
+	if err := entry.Check(); err != nil {
 		done(0, err)
 		return
 	}
-	raw, err := msgpack.Marshal(e)
+	raw, err := msgpack.Marshal(entry)
 	if err != nil {
 		done(0, err)
 		return
 	}
-	p := &proposal{entry: e, raw: raw, at: a.host.Now(), until: a.host.Now() + proposeFor, done: done}
-	if x, ok := body.(*change.Permit); ok && x.Emergency {
-		p.until = a.host.Now() + urgentFor
+	p := &proposal{entry: entry, raw: raw, createdAt: a.host.Now(), deadline: a.host.Now() + proposalTimeout, done: done}
+	if permit, ok := body.(*change.Permit); ok && permit.Emergency {
+		p.deadline = a.host.Now() + emergencyTimeout
 	}
-	a.open[a.seq] = p
-	a.say(p)
+	a.pending[a.seq] = p
+	a.sendProposal(p)
 }
 
-// say tells who leads of a proposal; where nobody is known to, a voter.
-func (a *Agent) say(p *proposal) {
-	p.said = a.host.Now()
+// sendProposal sends a proposal to the leader, or to a voter if the leader is unknown.
+func (a *Agent) sendProposal(p *proposal) {
+	p.sentAt = a.host.Now()
 	if a.group != nil && a.group.Leads() {
-		e := *p.entry
-		a.fill(&e)
-		if a.group.Propose(&e, a.host.Now().Milliseconds()) == nil {
+		entry := *p.entry
+		a.fillCapacity(&entry)
+		if a.group.Propose(&entry, a.host.Now().Milliseconds()) == nil {
 			a.pump()
 		}
 		return
 	}
-	to := a.leads()
-	if to == "" || to == a.o.Name {
-		to = a.from
+	to := a.leaderName()
+	if to == "" || to == a.options.Name {
+		to = a.source
 	}
-	if to == "" || to == a.o.Name {
-		for _, n := range a.voters() {
-			if n != a.o.Name {
-				to = n
+	if to == "" || to == a.options.Name {
+		for _, name := range a.voterNames() {
+			if name != a.options.Name {
+				to = name
 			}
 		}
 	}
@@ -85,61 +86,63 @@
 	}
 }
 
-// offered takes a proposal of another gateway, or passes it on.
-func (a *Agent) offered(from string, x message) {
+// handleProposal proposes an entry of another gateway to the log, or passes it on to the leader.
+func (a *Agent) handleProposal(from string, msg message) {
 	if a.group == nil {
-		a.send(from, message{Kind: messageNotLeader, Name: a.leads()})
+		a.send(from, message{Kind: messageNotLeader, Name: a.leaderName()})
 		return
 	}
 	if !a.group.Leads() {
-		if to := a.leads(); to != "" && to != from && to != a.o.Name {
-			a.send(to, message{Kind: messagePropose, Body: x.Body})
+		if to := a.leaderName(); to != "" && to != from && to != a.options.Name {
+			a.send(to, message{Kind: messagePropose, Body: msg.Body})
 			a.send(from, message{Kind: messageNotLeader, Name: to})
 		}
 		return
 	}
-	e := &replog.Entry{}
-	if msgpack.Unmarshal(x.Body, e) != nil || e.Check() != nil {
+	entry := &replog.Entry{}
+	if msgpack.Unmarshal(msg.Body, entry) != nil || entry.Check() != nil {
 		return
 	}
-	a.fill(e)
-	if a.group.Propose(e, a.host.Now().Milliseconds()) == nil {
+	a.fillCapacity(entry)
+	if a.group.Propose(entry, a.host.Now().Milliseconds()) == nil {
 		a.pump()
 	}
 }
 
-// fill puts in what is known to who leads alone: what the sites of a restriction bear, and what it is for asks.
-func (a *Agent) fill(e *replog.Entry) {
-	var b replog.RestrictBody
-	if e.Kind != "restrict" || msgpack.Unmarshal(e.Body, &b) != nil {
+// fillCapacity adds to a restriction what only the leader knows: the capacity of its sites, and the load that it applies
+// to.
+func (a *Agent) fillCapacity(entry *replog.Entry) {
+	var restrict replog.RestrictBody
+	if entry.Kind != "restrict" || msgpack.Unmarshal(entry.Body, &restrict) != nil {
 		return
 	}
-	b.Workers, b.Load = a.Bears(&b.Restriction, a.State())
-	if body, err := msgpack.Marshal(&b); err == nil {
-		e.Body = body
+	restrict.Workers, restrict.Load = a.Capacity(&restrict.Restriction, a.State())
+	if body, err := msgpack.Marshal(&restrict); err == nil {
+		entry.Body = body
 	}
 }
 
-// retry tells proposals again that have not been applied.
-func (a *Agent) retry(now time.Duration) {
-	for seq, p := range a.open {
+// retryProposals resends proposals that have not been applied, and gives up those that are too old.
+func (a *Agent) retryProposals(now time.Duration) {
+	for seq, p := range a.pending {
 		switch {
-		case now > p.until:
-			delete(a.open, seq)
-			p.done(0, errNobody)
-		case now-p.said > sayAgain:
-			a.say(p)
+		case now > p.deadline:
+			delete(a.pending, seq)
+			p.done(0, errNoLeader)
+		case now-p.sentAt > resendAfter:
+			a.sendProposal(p)
 		}
 	}
 }
 
-// answer ends a proposal of this gateway that has been applied.
-func (a *Agent) answer(x replog.Applied) {
-	if x.Entry.From != a.o.Name || x.Entry.Life != a.host.Incarnation().Number {
+// completeProposal completes a proposal of this gateway that has been applied.
+func (a *Agent) completeProposal(applied replog.Applied) {
+	if applied.Entry.From != a.options.Name || applied.Entry.Incarnation != a.host.Incarnation().Number {
 		return
 	}
-	if p := a.open[x.Entry.Seq]; p != nil { // applied before, while this gateway was away: then that is all that is known
-		delete(a.open, x.Entry.Seq)
-		p.done(x.Index, x.Err)
+	// If the entry had been applied before, while this gateway was partitioned, ErrDuplicate is all that is known.
+	if p := a.pending[applied.Entry.Seq]; p != nil {
+		delete(a.pending, applied.Entry.Seq)
+		p.done(applied.Index, applied.Err)
 	}
 }
--- a/internal/fleet/agreement/rebuild.go
+++ b/internal/fleet/agreement/rebuild.go
@@ -10,67 +10,68 @@
 	"quillrail/internal/fleet/replog"
 )
 
-// lostFor is how long there has to be no majority before an agreement may be begun anew.
-const lostFor = 5 * time.Second
+// noMajorityBeforeRebuild is how long there must have been no majority before the log may be rebuilt.
+const noMajorityBeforeRebuild = 5 * time.Second
 
-// Rebuild begins the agreement anew with this gateway as its only voter, by the word of two operators, where a majority of
-// those who voted is lost for good. What this gateway knows to be agreed stands, permits count as out, a release stands still;
-// the others follow it from then on, former voters too when they come back. What was agreed and has not reached this gateway
-// is lost, and nothing can find it: the gateway that knows of the newest entry is the one to ask.
+// Rebuild starts a new log with this gateway as its only voter. Two operators have to request it, and only when a
+// majority of the voters is lost for good. The state that this gateway knows stays in force: permits still count, and a
+// running release is paused. The other gateways follow the new log from then on, former voters too when they return.
+// Entries that were agreed but did not reach this gateway are lost without a trace, so the rebuild has to be requested
+// at the gateway that knows the newest entry.
 func (a *Agent) Rebuild(by, and string) error {
-	age, caught := a.Age()
+	age, caughtUp := a.Age()
 	switch {
 	case by == "" || and == "" || by == and:
 		return fmt.Errorf("two different operators have to say so: by=NAME and=NAME")
-	case caught && age < lostFor:
+	case caughtUp && age < noMajorityBeforeRebuild:
 		return fmt.Errorf("there was a majority %v ago", age.Round(time.Millisecond))
 	case a.host.Store() == nil:
 		return fmt.Errorf("this gateway has no disk to hold a log on")
 	}
-	var st *replog.State
+	var state *replog.State
 	if old := a.State(); old != nil {
-		b, err := old.Encode()
+		encoded, err := old.Encode()
 		if err != nil {
 			return err
 		}
-		if st, err = replog.Decode(b); err != nil {
+		if state, err = replog.Decode(encoded); err != nil {
 			return err
 		}
 	} else {
-		st = a.fresh()
+		state = a.initialState()
 	}
-	st.Era++
-	if r := st.Change.Current(); r != nil {
-		st.Change.Pause(change.Context{Index: st.Index, At: st.At}, r.ID, "the agreement was begun anew")
+	state.Era++
+	if release := state.Change.Current(); release != nil {
+		state.Change.Pause(change.Context{Index: state.Index, At: state.At}, release.ID, "the agreement was begun anew")
 	}
-	a.forfeit()
-	a.log.Warn("the agreement is begun anew, without its majority", zap.String("by", by), zap.String("and", and), zap.Uint64("era", st.Era))
-	a.begin(st, []replog.Voter{{ID: a.id, Name: a.o.Name, Hall: a.o.Hall}})
+	a.forfeitVote()
+	a.log.Warn("rebuilding the log without its majority", zap.String("by", by), zap.String("and", and), zap.Uint64("era", state.Era))
+	a.startLog(state, []replog.Voter{{ID: a.voterID, Name: a.options.Name, Hall: a.options.Hall}})
 	return nil
 }
 
-// tellEra tells all that an agreement of a later era has begun here.
-func (a *Agent) tellEra() {
-	for _, name := range a.others() {
+// announceEra notifies all other gateways that a log of a later era has started here.
+func (a *Agent) announceEra() {
+	for _, name := range a.otherGateways() {
 		a.send(name, message{Kind: messageEra})
 	}
 }
 
-// eraSeen follows an agreement that was begun anew, and gives up a former one.
-func (a *Agent) eraSeen(from string, x message) {
-	st := a.State()
-	if st == nil || x.Era <= st.Era || x.Kind == messageState {
+// handleEra makes this gateway follow a log that was rebuilt in a later era, and abandon the log of the former era.
+func (a *Agent) handleEra(from string, msg message) {
+	state := a.State()
+	if state == nil || msg.Era <= state.Era || msg.Kind == messageState {
 		return
 	}
-	if a.group != nil || a.claim != nil {
-		a.log.Warn("the agreement was begun anew by others: this gateway gives its vote up", zap.String("from", from), zap.Uint64("era", x.Era))
+	if a.group != nil || a.eligibility != nil {
+		a.log.Warn("another gateway has rebuilt the log, giving up this gateway's vote", zap.String("from", from), zap.Uint64("era", msg.Era))
 		if a.group != nil {
-			if b := a.Handed(); b != nil {
-				a.copy.Replace(b)
+			if encoded := a.EncodedState(); encoded != nil {
+				a.replica.Replace(encoded)
 			}
 		}
-		a.forfeit()
+		a.forfeitVote()
 	}
-	a.caught, a.from = false, from
+	a.caughtUp, a.source = false, from
 	a.send(from, message{Kind: messageFollow})
 }
--- a/internal/fleet/agreement/report.go
+++ b/internal/fleet/agreement/report.go
@@ -14,161 +14,170 @@
 )
 
 const (
-	reportTicks = 5               // a gateway reports each so many ticks
-	loadFor     = 5 * time.Second // over which the load is measured
-	mostSeen    = 4096            // things in a report
+	reportTicks    = 5               // ticks between the reports of a gateway
+	loadWindow     = 5 * time.Second // time over which the load is averaged
+	maxReportItems = 4096            // gateways and workers in a report
 )
 
-// Report is what a gateway tells the one that leads. What it does not name is as the log has it, for all that it can see.
+// Report is what a gateway sends to the leader. Gateways and workers that it does not mention are, as far as the gateway
+// can see, as the agreed state has them.
 type Report struct {
 	Name            string
-	Life, ID        uint64
+	Incarnation     uint64 `msgpack:"Life"`
+	ID              uint64 // voter ID
 	Hall            string
 	Serving, Warm   bool
-	Left            bool
+	Left            bool // unused
 	Version, Config string
 	Level           int
-	Index           uint64  // of the last entry that it has applied
-	Load            float64 // calls a second
-	Classes         []change.Tally
-	Uses            []float64 // calls a second by tenant and class: tenant * classes + class
-	Gateways        []GatewaySeen
-	Workers         []WorkerSeen
-	Copies          []CopiesSeen
-	Halls           []string // in which a worker has answered of late,
-	Dark            []string // and those in which none has, and one is avoided
+	Index           uint64         // index of the last entry that the gateway has applied
+	Load            float64        // calls/s
+	Classes         []change.Tally // answers by class
+	CallRates       []float64      `msgpack:"Uses"` // calls/s, indexed by tenant * classes + class
+	Gateways        []GatewayObservation
+	Workers         []WorkerObservation
+	Copies          []WorkerCopies
+	AnsweredHalls   []string `msgpack:"Halls"` // halls in which a worker has answered recently
+	UnansweredHalls []string `msgpack:"Dark"`  // halls in which none has, and the gateway avoids one
 }
 
-// GatewaySeen is what it sees of another gateway, WorkerSeen of a worker.
-type GatewaySeen struct {
-	Name    string
-	Life    uint64
-	Serving bool
+// GatewayObservation is what a gateway observes of another gateway.
+type GatewayObservation struct {
+	Name        string
+	Incarnation uint64 `msgpack:"Life"`
+	Serving     bool
 }
 
-// WorkerSeen is what it sees of a worker.
-type WorkerSeen struct {
+// WorkerObservation is what a gateway observes of a worker.
+type WorkerObservation struct {
 	ID, Hall string
-	Start    uint64 // Unix ms, as the list has it
+	Start    uint64 // start of the worker according to the worker list, Unix ms
 	Health   change.Health
-	ByList   bool // it is out by the list, or by hand
+	ByList   bool // it is out because of the worker list or because of a ban
 }
 
-// CopiesSeen is what it believes of the functions at a worker: those that stand there, and of these those that stand elsewhere.
-type CopiesSeen struct {
+// WorkerCopies is what a gateway believes about the functions of a worker: those that are loaded there, and those of
+// them that are also loaded elsewhere.
+type WorkerCopies struct {
 	Worker           string
 	There, Elsewhere []string
 }
 
-// report tells the one that leads what this gateway sees.
-func (a *Agent) report(now time.Duration) {
+// sendReport sends the leader what this gateway observes.
+func (a *Agent) sendReport(now time.Duration) {
 	a.observed.measure(now)
-	r := a.seen(now)
+	report := a.buildReport(now)
 	if a.group != nil && a.group.Leads() {
-		a.lead.take(a, r)
+		a.lead.addReport(a, report)
 		return
 	}
-	b, err := msgpack.Marshal(&r)
+	body, err := msgpack.Marshal(&report)
 	if err != nil {
-		a.log.Error("a report can't be told", zap.Error(err))
+		a.log.Error("report cannot be encoded", zap.Error(err))
 		return
 	}
-	to := a.leads()
-	if a.group == nil && a.from != "" { // by way of the voter that is followed, so that not all talk to one
-		to = a.from
+	to := a.leaderName()
+	if a.group == nil && a.source != "" { // followers report through the voter that they follow, to spare the leader connections
+		to = a.source
 	}
-	if to != "" && to != a.o.Name {
-		a.send(to, message{Kind: messageReport, Body: b})
+	if to != "" && to != a.options.Name {
+		a.send(to, message{Kind: messageReport, Body: body})
 	}
 }
 
-// reported takes a report, or passes it on to who leads.
-func (a *Agent) reported(from string, x message) {
+// handleReport records a report, or passes it on to the leader.
+func (a *Agent) handleReport(from string, msg message) {
 	if a.group == nil {
 		return
 	}
 	if !a.group.Leads() {
-		if to := a.leads(); to != "" && to != a.o.Name && to != from {
-			a.send(to, message{Kind: messageReport, Body: x.Body})
+		if to := a.leaderName(); to != "" && to != a.options.Name && to != from {
+			a.send(to, message{Kind: messageReport, Body: msg.Body})
 		}
 		return
 	}
-	var r Report
-	if err := msgpack.Unmarshal(x.Body, &r); err != nil || r.Name == "" || len(r.Gateways)+len(r.Workers) > mostSeen {
-		a.log.Warn("a report is not understood", zap.String("gateway", from), zap.Error(err))
+	var report Report
+	if err := msgpack.Unmarshal(msg.Body, &report); err != nil || report.Name == "" ||
+		len(report.Gateways)+len(report.Workers) > maxReportItems {
+		a.log.Warn("report of a gateway is invalid", zap.String("gateway", from), zap.Error(err))
 		return
 	}
-	a.lead.take(a, r)
+	a.lead.addReport(a, report)
 }
 
-// seen is this gateway's report.
-func (a *Agent) seen(now time.Duration) Report {
-	st := a.State()
-	r := Report{Name: a.o.Name, Life: a.host.Incarnation().Number, ID: a.id, Hall: a.o.Hall, Serving: a.gw.Serving(), Warm: a.gw.Warm(), Version: a.o.Version,
-		Config: a.o.Config, Level: replog.Level, Load: a.observed.load, Classes: append([]change.Tally(nil), a.observed.tallies...), Uses: append([]float64(nil), a.observed.use...)}
-	if st == nil {
-		return r
+// buildReport returns this gateway's report.
+func (a *Agent) buildReport(now time.Duration) Report {
+	state := a.State()
+	report := Report{Name: a.options.Name, Incarnation: a.host.Incarnation().Number, ID: a.voterID, Hall: a.options.Hall,
+		Serving: a.gateway.Serving(), Warm: a.gateway.Warm(), Version: a.options.Version, Config: a.options.Config,
+		Level: replog.Level, Load: a.observed.load, Classes: append([]change.Tally(nil), a.observed.tallies...),
+		CallRates: append([]float64(nil), a.observed.callRates...)}
+	if state == nil {
+		return report
 	}
-	r.Index = st.Index
-	for _, e := range a.host.View().Peers() {
-		t := change.Of(change.Gateway, e.Metadata.Name)
-		k, serving := st.Change.Things[t], e.State == member.Serving
-		if k == nil || k.Health != change.Well || !serving || k.Life != e.Metadata.Incarnation.Number || st.Change.PermitOf(t) != nil {
-			r.Gateways = append(r.Gateways, GatewaySeen{e.Metadata.Name, e.Metadata.Incarnation.Number, serving})
+	report.Index = state.Index
+	for _, peer := range a.host.View().Peers() {
+		subject := change.Of(change.Gateway, peer.Metadata.Name)
+		known, serving := state.Change.Things[subject], peer.State == member.Serving
+		if known == nil || known.Health != change.Well || !serving || known.Life != peer.Metadata.Incarnation.Number ||
+			state.Change.PermitOf(subject) != nil {
+			report.Gateways = append(report.Gateways, GatewayObservation{peer.Metadata.Name, peer.Metadata.Incarnation.Number, serving})
 		}
 	}
-	halls, dark := map[string]bool{}, map[string]bool{}
-	for name, m := range a.observed.members {
-		t := change.Of(change.Worker, name)
-		w := a.worker(name, m, now)
-		if at, ok := a.observed.answered[name]; ok && now-at < a.o.Lost {
-			halls[w.Hall] = true
-		} else if ready(m) && a.gw.Avoids(name) {
-			dark[w.Hall] = true
+	answered, unanswered := map[string]bool{}, map[string]bool{}
+	for name, listing := range a.observed.members {
+		subject := change.Of(change.Worker, name)
+		worker := a.observeWorker(name, listing, now)
+		if at, ok := a.observed.answeredAt[name]; ok && now-at < a.options.HallLostAfter {
+			answered[worker.Hall] = true
+		} else if isReady(listing) && a.gateway.Avoids(name) {
+			unanswered[worker.Hall] = true
 		}
-		if k := st.Change.Things[t]; k == nil || k.Health != w.Health || k.Life != w.Start || st.Change.PermitOf(t) != nil {
-			r.Workers = append(r.Workers, w)
+		if known := state.Change.Things[subject]; known == nil || known.Health != worker.Health ||
+			known.Life != worker.Start || state.Change.PermitOf(subject) != nil {
+			report.Workers = append(report.Workers, worker)
 		}
 	}
-	for t, k := range st.Change.Things {
-		if _, listed := a.observed.members[t.Name()]; t.Kind() == change.Worker && !listed && k.Health != change.Out {
-			r.Workers = append(r.Workers, WorkerSeen{ID: t.Name(), Hall: k.Hall, Start: k.Life, ByList: true})
+	for subject, known := range state.Change.Things {
+		if _, listed := a.observed.members[subject.Name()]; subject.Kind() == change.Worker && !listed && known.Health != change.Out {
+			report.Workers = append(report.Workers, WorkerObservation{ID: subject.Name(), Hall: known.Hall, Start: known.Life, ByList: true})
 		}
 	}
-	for _, h := range a.o.Halls {
-		if halls[h] {
-			r.Halls = append(r.Halls, h)
-		} else if dark[h] {
-			r.Dark = append(r.Dark, h)
+	for _, hall := range a.options.Halls {
+		if answered[hall] {
+			report.AnsweredHalls = append(report.AnsweredHalls, hall)
+		} else if unanswered[hall] {
+			report.UnansweredHalls = append(report.UnansweredHalls, hall)
 		}
 	}
-	for _, p := range st.Change.Permits {
-		for _, t := range p.Things {
-			if p.Phase == change.Asked && t.Kind() == change.Worker && len(r.Copies) < 4 {
-				c := CopiesSeen{Worker: t.Name()}
-				c.There, c.Elsewhere = a.gw.Copies(t.Name())
-				r.Copies = append(r.Copies, c)
+	for _, permit := range state.Change.Permits {
+		for _, subject := range permit.Things {
+			if permit.Phase == change.Asked && subject.Kind() == change.Worker && len(report.Copies) < 4 {
+				copies := WorkerCopies{Worker: subject.Name()}
+				copies.There, copies.Elsewhere = a.gateway.Copies(subject.Name())
+				report.Copies = append(report.Copies, copies)
 			}
 		}
 	}
-	return r
+	return report
 }
 
-// worker is how this gateway sees a worker: out by the list or by its own judgement, cold by its start, else well; where it
-// has begun anew, once it has answered since.
-func (a *Agent) worker(name string, m core.Member, now time.Duration) WorkerSeen {
-	w := WorkerSeen{ID: name, Hall: a.hallName(m.Zone), Start: uint64(max(0, m.Since.Milliseconds())), Health: change.Well}
-	at, answered := a.observed.answered[name]
+// observeWorker returns how this gateway sees a worker: out because of the worker list or of failures, cold for a while
+// after its start and, after a restart, until it has answered, otherwise well.
+func (a *Agent) observeWorker(name string, listing core.Member, now time.Duration) WorkerObservation {
+	observed := WorkerObservation{ID: name, Hall: a.hallName(listing.Zone),
+		Start: uint64(max(0, listing.Since.Milliseconds())), Health: change.Well}
+	at, answered := a.observed.answeredAt[name]
 	switch {
-	case m.State != decide.Ready || a.held.banned[name]:
-		w.Health, w.ByList = change.Out, true
-	case a.gw.Avoids(name):
-		w.Health = change.Out
-	case m.Since > 0 && now-m.Since < a.o.ColdFor:
-		w.Health = change.Cold
-	case m.Since > 0 && (!answered || at < m.Since):
-		w.Health = change.Cold                                                // nothing has been seen of it yet
-		a.gw.Probe(name, func() { a.observed.answered[name] = a.host.Now() }) // nobody may have a call for it
+	case listing.State != decide.Ready || a.permits.banned[name]:
+		observed.Health, observed.ByList = change.Out, true
+	case a.gateway.Avoids(name):
+		observed.Health = change.Out
+	case listing.Since > 0 && now-listing.Since < a.options.ColdFor:
+		observed.Health = change.Cold
+	case listing.Since > 0 && (!answered || at < listing.Since):
+		observed.Health = change.Cold                                                // it has not answered since its start
+		a.gateway.Probe(name, func() { a.observed.answeredAt[name] = a.host.Now() }) // there may be no calls for it
 	}
-	return w
+	return observed
 }
--- a/internal/fleet/agreement/show.go
+++ b/internal/fleet/agreement/show.go
@@ -11,80 +11,83 @@
 )
 
 const (
-	most       = 100 // things of a kind that are shown
-	shownEnded = 5   // permits that have ended, the last ones
+	maxShown   = 100 // subjects that are shown in a list
+	shownEnded = 5   // ended permits that are shown, the latest ones
 )
 
-// Show words what is agreed, for operators: a line each.
+// Show describes the agreed state for operators, in lines of text.
 func (a *Agent) Show() string {
 	var b strings.Builder
-	say := func(format string, x ...any) { fmt.Fprintf(&b, format+"\n", x...) }
-	st := a.State()
-	if st == nil {
-		say("nothing is known to be agreed")
+	printLine := func(format string, x ...any) { fmt.Fprintf(&b, format+"\n", x...) }
+	state := a.State()
+	if state == nil {
+		printLine("nothing is known to be agreed")
 		return b.String()
 	}
-	age, caught := a.Age()
+	age, caughtUp := a.Age()
 	switch {
-	case !caught:
-		say("entry %d, from disk: it is not known yet whether that is the newest", st.Index)
-	case age > lonely:
-		say("entry %d, as of %.1f s ago: no majority is heard, and nothing can be agreed", st.Index, age.Seconds())
+	case !caughtUp:
+		printLine("entry %d, from disk: it is not known yet whether that is the newest", state.Index)
+	case age > contactTimeout:
+		printLine("entry %d, as of %.1f s ago: no majority is heard, and nothing can be agreed", state.Index, age.Seconds())
 	default:
-		say("entry %d, as of %.1f s ago", st.Index, age.Seconds())
+		printLine("entry %d, as of %.1f s ago", state.Index, age.Seconds())
 	}
 	var voters []string
-	for _, v := range st.Voters {
+	for _, v := range state.Voters {
 		name := v.Name + " in " + v.Hall
 		if v.Learner {
 			name += " (learning)"
 		}
 		voters = append(voters, name)
 	}
-	say("held by %s; %s leads", strings.Join(voters, ", "), orNobody(a.leads()))
-	l := st.Change.Limits
-	say("limits gateways=%v gateways_hall=%v workers=%v workers_hall=%v only_copies=%v margin=%v gateway_calls=%v worker_calls=%v",
-		l.Gateways, l.GatewaysHall, l.Workers, l.WorkersHall, l.Only, l.Margin, l.GatewayCalls, l.WorkerCalls)
-	for i, t := range st.Change.Outs() {
-		if i == most {
-			say("and more")
+	printLine("held by %s; %s leads", strings.Join(voters, ", "), orNobody(a.leaderName()))
+	limits := state.Change.Limits
+	printLine("limits gateways=%v gateways_hall=%v workers=%v workers_hall=%v only_copies=%v margin=%v gateway_calls=%v worker_calls=%v",
+		limits.Gateways, limits.GatewaysHall, limits.Workers, limits.WorkersHall, limits.Only, limits.Margin,
+		limits.GatewayCalls, limits.WorkerCalls)
+	for i, subject := range state.Change.Outs() {
+		if i == maxShown {
+			printLine("and more")
 			break
 		}
-		k, p := st.Change.Things[t], st.Change.PermitOf(t)
+		known, permit := state.Change.Things[subject], state.Change.PermitOf(subject)
 		switch {
-		case p != nil && p.Phase > change.Asked:
-			say("out: %s %s (%s), permit %d of %s, %s: %s", t.Kind(), t.Name(), k.Hall, p.ID, orFleet(p.By), p.Phase, p.Why)
+		case permit != nil && permit.Phase > change.Asked:
+			printLine("out: %s %s (%s), permit %d of %s, %s: %s", subject.Kind(), subject.Name(), known.Hall,
+				permit.ID, orFleet(permit.By), permit.Phase, permit.Why)
 		default:
-			say("out: %s %s (%s), %s, nobody has asked for it", t.Kind(), t.Name(), k.Hall, k.Health)
+			printLine("out: %s %s (%s), %s, nobody has asked for it", subject.Kind(), subject.Name(), known.Hall, known.Health)
 		}
 	}
-	for _, p := range st.Change.Permits {
-		if p.Phase == change.Asked {
-			say("waits: permit %d of %s for %s: %s", p.ID, orFleet(p.By), thingNames(p.Things), a.Waits(p))
+	for _, permit := range state.Change.Permits {
+		if permit.Phase == change.Asked {
+			printLine("waits: permit %d of %s for %s: %s", permit.ID, orFleet(permit.By), subjectNames(permit.Things), a.WaitReason(permit))
 		}
 	}
-	for _, e := range st.Change.Ended[max(0, len(st.Change.Ended)-shownEnded):] {
-		say("ended: permit %d of %s for %s: %s", e.ID, orFleet(e.By), thingNames(e.Things), e.How)
+	for _, ended := range state.Change.Ended[max(0, len(state.Change.Ended)-shownEnded):] {
+		printLine("ended: permit %d of %s for %s: %s", ended.ID, orFleet(ended.By), subjectNames(ended.Things), ended.How)
 	}
-	for _, r := range st.Change.Releases {
-		a.showRelease(st, r, say)
+	for _, release := range state.Change.Releases {
+		a.showRelease(state, release, printLine)
 	}
-	a.showFreezes(st, say)
-	for _, r := range st.Site.Rules {
+	a.showFreezes(state, printLine)
+	for _, rule := range state.Site.Rules {
 		to := ""
 		switch {
-		case r.Lifted:
+		case rule.Lifted:
 			to = ", taken back once all have heard"
-		case r.PendingSites != nil:
-			to = fmt.Sprintf(", then %s once all have heard", strings.Join(r.PendingSites, " "))
+		case rule.PendingSites != nil:
+			to = fmt.Sprintf(", then %s once all have heard", strings.Join(rule.PendingSites, " "))
 		}
-		say("restriction %s of %s: tenants %v classes %v functions %d at %s%s", r.Name, r.By, r.Tenants, r.Classes, len(r.Functions), strings.Join(r.Sites, " "), to)
-		if r.Pin {
-			say("  its sessions are at %s", strings.Join(r.PinSites, " "))
+		printLine("restriction %s of %s: tenants %v classes %v functions %d at %s%s", rule.Name, rule.By,
+			rule.Tenants, rule.Classes, len(rule.Functions), strings.Join(rule.Sites, " "), to)
+		if rule.Pin {
+			printLine("  its sessions are at %s", strings.Join(rule.PinSites, " "))
 		}
 	}
-	if st.Site.Epoch > 0 {
-		say("epoch %d, down: %s, closed by hand: %s", st.Site.Epoch, orNone(st.Site.Down), orNone(st.Site.ClosedByOperator))
+	if state.Site.Epoch > 0 {
+		printLine("epoch %d, down: %s, closed by hand: %s", state.Site.Epoch, orNone(state.Site.Down), orNone(state.Site.ClosedByOperator))
 	}
 	return b.String()
 }
@@ -110,85 +113,87 @@
 	return strings.Join(names, " ")
 }
 
-func thingNames(things []change.Thing) string {
+func subjectNames(subjects []change.Thing) string {
 	var out []string
-	for _, t := range things {
+	for _, t := range subjects {
 		out = append(out, t.Kind()+" "+t.Name())
 	}
 	slices.Sort(out)
 	return strings.Join(out, ", ")
 }
 
-// Waits is why a permit waits, as far as this gateway can tell: what is measured is known to who leads alone.
-func (a *Agent) Waits(p *change.Permit) string {
+// WaitReason returns why a permit waits, as far as this gateway can tell: only the leader knows the measurements.
+func (a *Agent) WaitReason(p *change.Permit) string {
 	if err := a.State().Change.Turn(p, change.Measure{}); err != nil {
 		return err.Error()
 	}
 	return "it is its turn, or what stays does not bear the load"
 }
 
-func (a *Agent) showRelease(st *replog.State, r *change.Release, say func(string, ...any)) {
-	line := fmt.Sprintf("release %s of %s: %s to %q, %s", r.Name, r.By, r.What, r.To, r.Course)
-	if r.Course < change.Done {
+func (a *Agent) showRelease(state *replog.State, release *change.Release, printLine func(string, ...any)) {
+	line := fmt.Sprintf("release %s of %s: %s to %q, %s", release.Name, release.By, release.What, release.To, release.Course)
+	if release.Course < change.Done {
 		way := " forwards"
-		if r.Backward {
+		if release.Backward {
 			way = " backwards"
 		}
 		line += way
-		line += fmt.Sprintf(", batch %d of %d", r.Batch+1, len(r.Batches))
+		line += fmt.Sprintf(", batch %d of %d", release.Batch+1, len(release.Batches))
 	}
-	if r.Stood > 0 {
-		line += fmt.Sprintf(", proving itself for %.0f s", float64(st.At-r.Stood)/1000)
+	if release.Stood > 0 {
+		line += fmt.Sprintf(", proving itself for %.0f s", float64(state.At-release.Stood)/1000)
 	}
-	if r.Reason != "" {
-		line += ": " + r.Reason
+	if release.Reason != "" {
+		line += ": " + release.Reason
 	}
-	say("%s", line)
-	if r.What == change.Workers || r.Course >= change.Done {
+	printLine("%s", line)
+	if release.What == change.Workers || release.Course >= change.Done {
 		return
 	}
 	at := map[string][]string{}
-	for t := range r.From {
-		if k := st.Change.Things[t]; k != nil {
-			v := k.Version
-			if r.What == change.Config {
-				v = k.Config
+	for t := range release.From {
+		if known := state.Change.Things[t]; known != nil {
+			value := known.Version
+			if release.What == change.Config {
+				value = known.Config
 			}
-			at[v] = append(at[v], t.Name())
+			at[value] = append(at[value], t.Name())
 		}
 	}
-	for _, v := range sorted(at) {
-		slices.Sort(at[v])
-		say("  at %q: %s", v, strings.Join(at[v][:min(len(at[v]), most)], " "))
+	for _, value := range sortedKeys(at) {
+		slices.Sort(at[value])
+		printLine("  at %q: %s", value, strings.Join(at[value][:min(len(at[value]), maxShown)], " "))
 	}
 }
 
-func (a *Agent) showFreezes(st *replog.State, say func(string, ...any)) {
-	c := a.clock()
-	for _, p := range st.Freeze.Periods {
+func (a *Agent) showFreezes(state *replog.State, printLine func(string, ...any)) {
+	clock := a.clock()
+	for _, period := range state.Freeze.Periods {
 		kinds, halls := "all kinds", "all halls"
-		if len(p.Kinds) > 0 {
-			kinds = strings.Trim(fmt.Sprint(p.Kinds), "[]")
+		if len(period.Kinds) > 0 {
+			kinds = strings.Trim(fmt.Sprint(period.Kinds), "[]")
 		}
-		if len(p.Halls) > 0 {
-			halls = strings.Join(p.Halls, " ")
+		if len(period.Halls) > 0 {
+			halls = strings.Join(period.Halls, " ")
 		}
 		when := "not again"
-		if until, in := p.InForce(c.At, c.Bound); in {
+		if until, in := period.InForce(clock.At, clock.Bound); in {
 			when = "in force until " + until.UTC().Format(time.RFC3339)
-		} else if next, ok := p.NextStart(c.At); ok {
+		} else if next, ok := period.NextStart(clock.At); ok {
 			when = "next from " + next.UTC().Format(time.RFC3339)
 		}
-		say("freeze %s of %s: %s in %s, %s to %s %s %s: %s", p.Name, p.Owner, kinds, halls, p.Start, p.End, p.Zone, p.Rule, when)
+		printLine("freeze %s of %s: %s in %s, %s to %s %s %s: %s", period.Name, period.Owner, kinds, halls,
+			period.Start, period.End, period.Zone, period.Rule, when)
 	}
-	for _, e := range st.Freeze.Exceptions {
-		state := "agreed to by " + e.By[1]
+	for _, exception := range state.Freeze.Exceptions {
+		status := "agreed to by " + exception.By[1]
 		switch {
-		case e.Used:
-			state = "used"
-		case e.By[1] == "":
-			state = "waits for a second operator"
+		case exception.Used:
+			status = "used"
+		case exception.By[1] == "":
+			status = "waits for a second operator"
 		}
-		say("exception %d of %s for %s in %s until %s, %s: %s", e.ID, e.By[0], e.What, e.Period, time.UnixMilli(e.Until).UTC().Format(time.RFC3339), state, e.Why)
+		printLine("exception %d of %s for %s in %s until %s, %s: %s", exception.ID, exception.By[0], exception.What, exception.Period,
+			time.UnixMilli(exception.Until).UTC().Format(time.RFC3339), status, exception.Why)
 	}
 }
--- a/internal/fleet/agreement/sites.go
+++ b/internal/fleet/agreement/sites.go
@@ -13,34 +13,35 @@
 )
 
 const (
-	refusePause = 500 * time.Millisecond // a call that may run nowhere is asked to come again after
-	unknownFor  = 200 * time.Millisecond // and where it is not known yet
-	backFor     = 3 * time.Second        // a hall serves again once it was seen to for so long
+	refusePause        = 500 * time.Millisecond // delay before a retry of a call that may not run at any site
+	unknownPause       = 200 * time.Millisecond // delay before a retry while the agreed state is unknown
+	hallRecoveredAfter = 3 * time.Second        // time of recovery after which a lost hall serves again
 )
 
-// Place says where a call may run: zones are the numbers of its sites, nil for all; why is the reason if it may run nowhere
-// now. epoch is that of its session's site, 0 where it has none.
+// Place decides where a call may run. zones are the zone numbers of the permitted sites, nil for all. If the call may
+// not run anywhere now, why is the reason and pause the delay before a retry. epoch is the epoch of the session's site,
+// 0 if the call has none.
 func (a *Agent) Place(call *core.Call) (zones []int, epoch uint64, why string, pause time.Duration) {
-	st := a.State()
-	if st == nil && len(a.o.Own) == 0 {
-		if a.o.First == nil || !safeguard.Enabled("asks first") {
+	state := a.State()
+	if state == nil && len(a.options.OwnRestrictions) == 0 {
+		if a.options.InitialVoters == nil || !safeguard.Enabled("asks first") {
 			return nil, 0, "", 0
 		}
-		return nil, 0, "it is not known yet what is agreed", unknownFor
+		return nil, 0, "it is not known yet what is agreed", unknownPause
 	}
-	c := site.Call{Class: call.ClassName, Function: call.Function, Session: a.session(call)}
-	if call.Tenant >= 0 && call.Tenant < len(a.o.Tenants) {
-		c.Tenant = a.o.Tenants[call.Tenant]
+	request := site.Call{Class: call.ClassName, Function: call.Function, Session: a.session(call)}
+	if call.Tenant >= 0 && call.Tenant < len(a.options.Tenants) {
+		request.Tenant = a.options.Tenants[call.Tenant]
 	}
-	if st == nil {
-		st = &replog.State{Site: &site.State{}}
+	if state == nil {
+		state = &replog.State{Site: &site.State{}}
 	}
-	agreed := st.Site
-	if !safeguard.Enabled("session epoch") { // each moves sessions by what it sees itself
+	agreed := state.Site
+	if !safeguard.Enabled("session epoch") { // without this guard each gateway moves sessions by its own observations
 		own := *agreed
-		own.Down = slices.DeleteFunc(slices.Clone(a.o.Halls), func(h string) bool {
+		own.Down = slices.DeleteFunc(slices.Clone(a.options.Halls), func(h string) bool {
 			for name, m := range a.observed.members {
-				if ready(m) && a.hallName(m.Zone) == h && !a.gw.Avoids(name) {
+				if isReady(m) && a.hallName(m.Zone) == h && !a.gateway.Avoids(name) {
 					return true
 				}
 			}
@@ -48,34 +49,34 @@
 		})
 		agreed = &own
 	}
-	p := agreed.Place(c, a.o.Own)
-	if !p.Restricted || !safeguard.Enabled("restrictions") {
+	placement := agreed.Place(request, a.options.OwnRestrictions)
+	if !placement.Restricted || !safeguard.Enabled("restrictions") {
 		return nil, 0, "", 0
 	}
-	if !a.caught && a.o.First != nil && safeguard.Enabled("asks first") {
-		return nil, 0, "it is not known yet whether what is agreed is still so", unknownFor
+	if !a.caughtUp && a.options.InitialVoters != nil && safeguard.Enabled("asks first") {
+		return nil, 0, "it is not known yet whether what is agreed is still so", unknownPause
 	}
 	zones = []int{}
-	for i, h := range a.o.Halls {
-		if slices.Contains(p.Sites, h) {
+	for i, h := range a.options.Halls {
+		if slices.Contains(placement.Sites, h) {
 			zones = append(zones, i)
 		}
 	}
 	if len(zones) == 0 {
 		return nil, 0, "no permitted site is up", refusePause
 	}
-	if !a.serves(zones) {
-		return nil, 0, fmt.Sprintf("no worker serves at %v", p.Sites), refusePause
+	if !a.hasWorker(zones) {
+		return nil, 0, fmt.Sprintf("no worker serves at %v", placement.Sites), refusePause
 	}
-	if p.Pinned {
-		epoch = p.Epoch
+	if placement.Pinned {
+		epoch = placement.Epoch
 	}
 	return zones, epoch, "", 0
 }
 
-// session is what a call names its session by.
+// session returns the identifier of a call's session.
 func (a *Agent) session(call *core.Call) string {
-	switch a.o.Session {
+	switch a.options.Session {
 	case "tenant":
 		return fmt.Sprint(call.Tenant)
 	case "function":
@@ -84,7 +85,7 @@
 	return call.Key
 }
 
-// ZoneOf is the number of the hall that a worker is listed in, -1 for none.
+// ZoneOf returns the zone number of the hall that a worker is listed in, -1 if there is none.
 func (a *Agent) ZoneOf(worker string) int {
 	if m, ok := a.observed.members[worker]; ok {
 		return m.Zone
@@ -92,82 +93,88 @@
 	return -1
 }
 
-// serves reports whether a worker that is not left out is listed in one of the zones.
-func (a *Agent) serves(zones []int) bool {
+// hasWorker reports whether any of the zones has a worker that is ready and not banned.
+func (a *Agent) hasWorker(zones []int) bool {
 	for name, m := range a.observed.members {
-		if ready(m) && slices.Contains(zones, m.Zone) && !a.held.banned[name] {
+		if isReady(m) && slices.Contains(zones, m.Zone) && !a.permits.banned[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// sites sees to halls that are lost or back, and to restrictions that wait until all have heard of them.
-func (a *Agent) sites(st *replog.State, now time.Duration) {
-	l := &a.lead
-	busy, dark, heard := map[string]bool{}, map[string]int{}, 0
-	for _, r := range l.reports {
-		if now-r.at <= fresh {
-			heard++
-			for _, h := range r.Halls {
-				busy[h] = true
+// updateHalls proposes to declare halls lost or recovered, and to widen restrictions that wait until all gateways have
+// applied them.
+func (a *Agent) updateHalls(state *replog.State, now time.Duration) {
+	lead := &a.lead
+	answered, unanswered, reporting := map[string]bool{}, map[string]int{}, 0
+	for _, report := range lead.reports {
+		if now-report.receivedAt <= reportMaxAge {
+			reporting++
+			for _, hall := range report.AnsweredHalls {
+				answered[hall] = true
 			}
-			for _, h := range r.Dark {
-				dark[h]++
+			for _, hall := range report.UnansweredHalls {
+				unanswered[hall]++
 			}
 		}
 	}
-	well, renewed := map[string]int{}, map[string]bool{}
-	for t, k := range st.Change.Things {
-		if t.Kind() == change.Worker && k.Health != change.Out {
-			well[k.Hall]++
-			renewed[k.Hall] = renewed[k.Hall] || k.Life > 0 && time.Duration(k.Life)*time.Millisecond > l.lost[k.Hall]
+	inService, restarted := map[string]int{}, map[string]bool{}
+	for subject, known := range state.Change.Things {
+		if subject.Kind() == change.Worker && known.Health != change.Out {
+			inService[known.Hall]++
+			restarted[known.Hall] = restarted[known.Hall] || known.Life > 0 &&
+				time.Duration(known.Life)*time.Millisecond > lead.lostAt[known.Hall]
 		}
 	}
-	for _, h := range a.o.Halls {
-		down := slices.Contains(st.Site.Down, h)
-		since := func(m map[string]time.Duration, yes bool) time.Duration {
-			if !yes {
-				delete(m, h)
+	for _, hall := range a.options.Halls {
+		down := slices.Contains(state.Site.Down, hall)
+		since := func(m map[string]time.Duration, holds bool) time.Duration {
+			if !holds {
+				delete(m, hall)
 				return 0
 			}
-			if m[h] == 0 {
-				m[h] = now
+			if m[hall] == 0 {
+				m[hall] = now
 			}
-			return now - m[h]
+			return now - m[hall]
 		}
-		// A hall whose workers are all out is lost, or one in which two gateways call and nobody is answered; one in which
-		// nobody calls is not. It is back once somebody is answered, or a worker there has begun anew.
-		gone := since(l.empty, heard > 0 && !busy[h] && (well[h] == 0 || dark[h] >= min(2, heard)))
-		back := since(l.busy, busy[h] || renewed[h])
+		// A hall is lost if all of its workers are out, or if two gateways send calls there and get no answers. A hall
+		// without calls is not lost. It has recovered once a gateway gets an answer there or a worker there has been
+		// restarted since.
+		lostFor := since(lead.seemsLostSince, reporting > 0 && !answered[hall] &&
+			(inService[hall] == 0 || unanswered[hall] >= min(2, reporting)))
+		recoveredFor := since(lead.seemsRecoveredSince, answered[hall] || restarted[hall])
 		switch {
-		case !down && gone > a.o.Lost:
-			l.lost[h] = now
-			a.put("lose", replog.NameBody{Name: h})
-		case down && back > backFor:
-			a.put("back", replog.NameBody{Name: h})
+		case !down && lostFor > a.options.HallLostAfter:
+			lead.lostAt[hall] = now
+			a.proposeAsLeader("lose", replog.NameBody{Name: hall})
+		case down && recoveredFor > hallRecoveredAfter:
+			a.proposeAsLeader("back", replog.NameBody{Name: hall})
 		}
 	}
-	for _, r := range st.Site.PendingLoosening() {
-		if a.allHave(st, r.ID, now) {
-			a.put("widen", replog.NameBody{Name: r.Name})
+	for _, rule := range state.Site.PendingLoosening() {
+		if a.allApplied(state, rule.ID, now) {
+			a.proposeAsLeader("widen", replog.NameBody{Name: rule.Name})
 		}
 	}
 }
 
-// allHave reports whether every gateway has applied an entry, or is known to be out: by a permit, or because it has left.
-func (a *Agent) allHave(st *replog.State, index uint64, now time.Duration) bool {
+// allApplied reports whether every gateway has applied an entry or is known to be unavailable because of a permit in
+// use. Gateways that have left the agreed state do not count.
+func (a *Agent) allApplied(state *replog.State, index uint64, now time.Duration) bool {
 	if !safeguard.Enabled("all have heard") {
 		return true
 	}
-	for t := range st.Change.Things {
-		if t.Kind() != change.Gateway {
+	for subject := range state.Change.Things {
+		if subject.Kind() != change.Gateway {
 			continue
 		}
-		if r := a.lead.reports[t.Name()]; r != nil && now-r.at <= fresh && r.Index >= index {
+		if report := a.lead.reports[subject.Name()]; report != nil && now-report.receivedAt <= reportMaxAge &&
+			report.Index >= index {
 			continue
 		}
-		if p := st.Change.PermitOf(t); p != nil && p.Phase >= change.Used {
+		if permit := state.Change.PermitOf(subject); permit != nil && permit.Phase >= change.Used {
 			continue
 		}
 		return false
@@ -175,29 +182,31 @@
 	return true
 }
 
-// Bears is what the workers at halls bear, and what calls that a restriction is for ask, as measured now.
-func (a *Agent) Bears(r *site.Restriction, st *replog.State) (workers int, load float64) {
-	for t, k := range st.Change.Things {
-		if t.Kind() == change.Worker && k.Health == change.Well && slices.Contains(r.Sites, k.Hall) {
+// Capacity returns the number of healthy workers at a restriction's sites, and the calls/s that the restriction applies
+// to, as measured now.
+func (a *Agent) Capacity(r *site.Restriction, state *replog.State) (workers int, load float64) {
+	for subject, known := range state.Change.Things {
+		if subject.Kind() == change.Worker && known.Health == change.Well && slices.Contains(r.Sites, known.Hall) {
 			workers++
 		}
 	}
-	for _, x := range a.lead.reports {
-		for i, n := range x.Uses {
-			c := site.Call{Tenant: at(a.o.Tenants, i/max(1, len(a.o.Classes))), Class: at(a.o.Classes, i%max(1, len(a.o.Classes)))}
-			q := *r
-			q.Functions = nil // how calls fall to functions is not reported: all of them are counted
-			if q.Matches(c) {
-				load += n
+	for _, report := range a.lead.reports {
+		for i, rate := range report.CallRates {
+			call := site.Call{Tenant: nameAt(a.options.Tenants, i/max(1, len(a.options.Classes))),
+				Class: nameAt(a.options.Classes, i%max(1, len(a.options.Classes)))}
+			restriction := *r
+			restriction.Functions = nil // call rates are not reported by function, so the calls of all functions count
+			if restriction.Matches(call) {
+				load += rate
 			}
 		}
 	}
 	return workers, load
 }
 
-func at(names []string, i int) string {
-	if i >= 0 && i < len(names) {
-		return names[i]
+func nameAt(names []string, index int) string {
+	if index >= 0 && index < len(names) {
+		return names[index]
 	}
 	return ""
 }
--- a/internal/fleet/replog/eligibility.go
+++ b/internal/fleet/replog/eligibility.go
@@ -7,44 +7,49 @@
 	"quillrail/internal/fleet/safeguard"
 )
 
-// Verdict is what becomes of the vote that a gateway's disk holds.
+// Verdict says whether a gateway may still use the vote that its disk holds.
 type Verdict int
 
-// The verdicts.
+// The verdicts of an Eligibility.
 const (
-	Wait     Verdict = iota // too few have answered
-	May                     // it votes as it did
-	Forfeits                // its disk is not the newest: the vote is given up, and the gateway is another one
+	VerdictPending Verdict = iota // too few gateways have answered
+	VerdictVote                   // the gateway may vote as before
+	VerdictForfeit                // the disk is outdated: the gateway gives up this vote and gets a new voter ID
 )
 
-// Eligibility decides whether a gateway that starts may vote by its disk: a disk that came back older would vote a second time, or
-// not know what it had promised to keep. Its incarnation is one more than the one on the disk, so that anybody who has
-// heard of this one or a later one has met a process that wrote to a newer disk.
+// Eligibility decides whether a starting gateway may vote with the log on its disk. With a disk that was set back to an
+// older copy, the gateway could vote twice in a term or forget entries that it has acknowledged. The gateway's
+// incarnation is one more than the number on its disk. A gateway that has observed this incarnation or a later one has
+// therefore met a process that wrote to a newer disk.
 type Eligibility struct {
-	Name   string
-	Life   uint64 // of this process, as it follows from the disk
-	Voters []Voter
-	heard  map[string]uint64
+	Name        string
+	Incarnation uint64 // of this process, derived from the disk
+	Voters      []Voter
+	answers     map[string]uint64 // highest incarnation of this gateway that each other gateway knows of
 }
 
-// NewEligibility begins one: nobody has answered.
-func NewEligibility(name string, life uint64, voters []Voter) *Eligibility {
-	return &Eligibility{Name: name, Life: life, Voters: voters, heard: map[string]uint64{}}
+// NewEligibility returns an Eligibility without any answers.
+func NewEligibility(name string, incarnation uint64, voters []Voter) *Eligibility {
+	return &Eligibility{Name: name, Incarnation: incarnation, Voters: voters, answers: map[string]uint64{}}
 }
 
-// Answer takes the highest incarnation of this gateway that another one knows of, before it heard of this process.
-func (c *Eligibility) Answer(from string, life uint64) { c.heard[from] = max(c.heard[from], life) }
+// Answer records the highest incarnation of this gateway that another gateway had observed before it received a message
+// from this process.
+func (c *Eligibility) Answer(from string, incarnation uint64) {
+	c.answers[from] = max(c.answers[from], incarnation)
+}
 
-// Verdict is what follows from the answers so far. With itself those who have answered have to be a majority of the voters:
-// one of any majority that a former life took part in is then among them, itself left out.
+// Verdict evaluates the answers so far. The gateways that answered, together with this one, have to be a majority of the
+// voters: they then include at least one other member of any majority that a previous process of this gateway took part
+// in.
 func (c *Eligibility) Verdict() Verdict {
 	if !safeguard.Enabled("voter identity") {
-		return May
+		return VerdictVote
 	}
-	others, voting := 0, 0
-	for _, life := range c.heard {
-		if life >= c.Life {
-			return Forfeits
+	otherVoters, voting := 0, 0
+	for _, incarnation := range c.answers {
+		if incarnation >= c.Incarnation {
+			return VerdictForfeit
 		}
 	}
 	for _, v := range c.Voters {
@@ -52,35 +57,36 @@
 			continue
 		}
 		voting++
-		if _, ok := c.heard[v.Name]; ok && v.Name != c.Name {
-			others++
+		if _, ok := c.answers[v.Name]; ok && v.Name != c.Name {
+			otherVoters++
 		}
 	}
-	if others < voting/2 {
-		return Wait
+	if otherVoters < voting/2 {
+		return VerdictPending
 	}
-	return May
+	return VerdictVote
 }
 
-// Membership decides who is taken in and who is removed, one at a time: voters that are out for long are replaced, by gateways
-// of halls without a voter first.
+// Membership decides which voter is added or removed next, one at a time. Voters that have been unavailable for too long
+// are replaced, preferably by gateways of halls without a voter.
 type Membership struct {
-	Want   int   // voters
-	LostMs int64 // after so long a voter counts as lost
+	TargetVoters int   // wanted number of voters
+	LostAfterMs  int64 // time without contact after which a voter counts as lost, ms
 }
 
-// Candidate is a gateway that could vote, with its disk's number.
+// Candidate is a gateway that votes or could vote.
 type Candidate struct {
 	Name, Hall string
-	ID         uint64
+	ID         uint64 // voter ID of the gateway's disk, 0 if unknown
 	Up         bool
-	DownFor    int64 // ms
-	Behind     uint64
-	Listens    bool // it has acknowledged entries of late
+	DownForMs  int64
+	Behind     uint64 // entries that it has not acknowledged
+	Responsive bool   // it has answered the leader within an election timeout
 }
 
-// Next returns the next change, if one is due. all are the gateways that are known of, voters among them.
-func (s Membership) Next(state *State, self uint64, all []Candidate) (v Voter, gone, ok bool) {
+// Next returns the next voter change, if one is due; remove says that the voter is to be removed. self is the ID of the
+// leader, which is never replaced. all lists the known gateways, including the voters.
+func (s Membership) Next(state *State, self uint64, all []Candidate) (voter Voter, remove, ok bool) {
 	find := func(id uint64) *Candidate {
 		for i := range all {
 			if all[i].ID == id {
@@ -90,52 +96,54 @@
 		return nil
 	}
 	var lost []Voter
-	voting, halls := 0, map[string]bool{}
-	for _, v := range state.Voters {
-		c := find(v.ID)
+	voters, coveredHalls := 0, map[string]bool{}
+	for _, voter := range state.Voters {
+		c := find(voter.ID)
 		switch {
-		case v.ID == self:
-		case c == nil && slices.ContainsFunc(all, func(o Candidate) bool { return o.Name == v.Name && o.Up && o.ID != 0 }):
-			lost = append(lost, v) // its name has another disk
+		case voter.ID == self:
+		case c == nil && slices.ContainsFunc(all, func(other Candidate) bool {
+			return other.Name == voter.Name && other.Up && other.ID != 0
+		}):
+			lost = append(lost, voter) // the gateway has another disk now
 			continue
-		case c != nil && !c.Up && c.DownFor >= s.LostMs:
-			lost = append(lost, v)
+		case c != nil && !c.Up && c.DownForMs >= s.LostAfterMs:
+			lost = append(lost, voter)
 			continue
 		}
-		if halls[v.Hall] = true; !v.Learner {
-			voting++
+		if coveredHalls[voter.Hall] = true; !voter.Learner {
+			voters++
 		}
 	}
-	for _, v := range state.Voters { // one that has learnt all becomes a voter
-		if c := find(v.ID); v.Learner && c != nil && c.Up && c.Listens && c.Behind < keepEntries/8 && voting < s.Want {
-			v.Learner = false
-			return v, false, true
+	for _, voter := range state.Voters { // a learner that has caught up becomes a voter
+		if c := find(voter.ID); voter.Learner && c != nil && c.Up && c.Responsive && c.Behind < keepEntries/8 && voters < s.TargetVoters {
+			voter.Learner = false
+			return voter, false, true
 		}
 	}
-	if len(lost) > 0 { // what is lost goes first: a majority is then easier to have, not harder
+	if len(lost) > 0 { // remove lost voters before adding new ones, so that a smaller majority suffices
 		return lost[0], true, true
 	}
-	learning := slices.ContainsFunc(state.Voters, func(v Voter) bool { return v.Learner })
-	if voting >= s.Want || learning {
-		return v, false, false
+	learning := slices.ContainsFunc(state.Voters, func(voter Voter) bool { return voter.Learner })
+	if voters >= s.TargetVoters || learning {
+		return voter, false, false
 	}
-	var can []Candidate
+	var available []Candidate
 	for _, c := range all {
 		if c.Up && c.ID != 0 && state.Voter(c.Name) == nil {
-			can = append(can, c)
+			available = append(available, c)
 		}
 	}
-	if len(can) == 0 {
-		return v, false, false
+	if len(available) == 0 {
+		return voter, false, false
 	}
-	slices.SortFunc(can, func(a, b Candidate) int {
-		if halls[a.Hall] != halls[b.Hall] {
-			if halls[a.Hall] {
+	slices.SortFunc(available, func(a, b Candidate) int {
+		if coveredHalls[a.Hall] != coveredHalls[b.Hall] {
+			if coveredHalls[a.Hall] {
 				return 1
 			}
 			return -1
 		}
 		return cmp.Compare(a.Name, b.Name)
 	})
-	return Voter{ID: can[0].ID, Name: can[0].Name, Hall: can[0].Hall, Learner: true}, false, true
+	return Voter{ID: available[0].ID, Name: available[0].Name, Hall: available[0].Hall, Learner: true}, false, true
 }
--- a/internal/fleet/replog/entry.go
+++ b/internal/fleet/replog/entry.go
@@ -13,24 +13,25 @@
 
 // Entry is a decision in the log.
 type Entry struct {
-	V         int    // of the form
-	From      string // the gateway that proposed it,
-	Life, Seq uint64 // in which life, and the how-many-eth of that life
-	At        int64  // the leader's time, Unix ms
-	By        string // the operator's name, "" for the fleet itself
-	Except    uint64 // the exception by which it is made in a freeze, 0 for none
-	Kind      string
-	Body      []byte
+	FormatVersion int    `msgpack:"V"` // version of the entry's encoding
+	From          string // the gateway that proposed the entry
+	Incarnation   uint64 `msgpack:"Life"` // of the proposing gateway's process
+	Seq           uint64 // sequence number of the proposal within that incarnation
+	At            int64  // the leader's time when it proposed the entry, Unix ms
+	By            string // the operator's name, "" for the fleet itself
+	Except        uint64 // ID of the freeze exception under which the entry is made, 0 for none
+	Kind          string
+	Body          []byte
 }
 
-// Bodies of entries beside those of package change.
+// These are the bodies of entries, besides those that package change declares.
 type (
 	LimitsBody struct{ Limits change.Limits }
 	ExceptBody struct{ Exception freeze.Exception }
 	SecondBody struct{ ID uint64 }
 	EndBody    struct {
 		Name string
-		At   int64 // Unix ms, 0: now
+		At   int64 // Unix ms, 0 for now
 	}
 	SpansBody struct {
 		Name  string
@@ -40,19 +41,19 @@
 	RulesBody    struct{ Rules Rules }
 	RestrictBody struct {
 		Restriction site.Restriction
-		Workers     int     // well ones at its sites, and
-		Load        float64 // calls a second that it is for, as who proposes it has measured
+		Workers     int     // healthy workers at the restriction's sites
+		Load        float64 // calls/s that the restriction applies to, as the leader has measured
 	}
 )
 
-// ErrTwice says that an entry has been applied before.
-var ErrTwice = errors.New("applied before")
+// ErrDuplicate means that an entry has been applied before.
+var ErrDuplicate = errors.New("applied before")
 
-// Apply applies the entry at an index and returns what came of it: an error is the reason why it changed nothing.
+// Apply applies the entry with the given index. An error is the reason why the entry changed nothing.
 func (s *State) Apply(index uint64, e *Entry) error {
 	s.Index, s.At = index, max(s.At, e.At)
-	if !s.once(e.From, e.Life, e.Seq) {
-		return ErrTwice
+	if !s.recordProposal(e.From, e.Incarnation, e.Seq) {
+		return ErrDuplicate
 	}
 	k, known := kinds[e.Kind]
 	if !known || k.level > s.Level {
@@ -62,23 +63,23 @@
 	if err := msgpack.Unmarshal(e.Body, body); err != nil {
 		return fmt.Errorf("entry %s: %w", e.Kind, err)
 	}
-	if k.freeze != "" {
-		if err := s.thaw(k.freeze, nil, e); err != nil {
+	if k.freezeKind != "" {
+		if err := s.checkFreeze(k.freezeKind, nil, e); err != nil {
 			return err
 		}
 	}
-	return k.do(s, change.Context{Index: index, At: s.At}, e, body)
+	return k.apply(s, change.Context{Index: index, At: s.At}, e, body)
 }
 
-// Check reports what no entry can be, before it is proposed.
+// Check rejects entries that can never be valid, before they are proposed.
 func (e *Entry) Check() error {
 	k, known := kinds[e.Kind]
 	switch {
 	case !known:
 		return fmt.Errorf("no entry %q is known", e.Kind)
-	case e.From == "" || e.Life == 0 || e.Seq == 0 || len(e.From) > 64 || len(e.By) > 64:
-		return fmt.Errorf("an entry of %q, life %d, number %d", e.From, e.Life, e.Seq)
-	case len(e.Body) > maxEntry:
+	case e.From == "" || e.Incarnation == 0 || e.Seq == 0 || len(e.From) > 64 || len(e.By) > 64:
+		return fmt.Errorf("an entry of %q, life %d, number %d", e.From, e.Incarnation, e.Seq)
+	case len(e.Body) > maxEntryBytes:
 		return fmt.Errorf("an entry of %d bytes", len(e.Body))
 	}
 	return msgpack.Unmarshal(e.Body, k.body())
--- a/internal/fleet/replog/follow.go
+++ b/internal/fleet/replog/follow.go
@@ -7,42 +7,44 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// How entries that are the log's own are marked where they are told to those who follow: no entry of ours begins so.
+// The first byte of voter changes, which raft itself puts into the log, in the form sent to followers. No encoded Entry
+// begins with either byte.
 const (
-	seatMark = 0xc1 // msgpack never uses it
-	goneMark = 0xc7 // an extension, which is no entry either
+	voterChangeMark  = 0xc1 // unused in MessagePack
+	voterRemovalMark = 0xc7 // a MessagePack extension, which is never an Entry
 )
 
-// seatRaw is the form in which a change of who votes is told.
-func seatRaw(id uint64, gone bool, context []byte) []byte {
-	mark := byte(seatMark)
-	if gone {
-		mark = goneMark
+// encodeVoterChange returns a voter change in the form that is sent to followers.
+func encodeVoterChange(id uint64, remove bool, context []byte) []byte {
+	mark := byte(voterChangeMark)
+	if remove {
+		mark = voterRemovalMark
 	}
 	return append(binary.BigEndian.AppendUint64([]byte{mark}, id), context...)
 }
 
-// take applies what stands in the log at an index, in the form in which it is told.
-func (s *State) take(index uint64, raw []byte) (e *Entry, err error) {
+// applyRaw applies the log entry with the given index, in the form that is sent to followers. It returns the entry if it
+// is not one of raft's own.
+func (s *State) applyRaw(index uint64, raw []byte) (e *Entry, err error) {
 	defer func() {
-		if p := recover(); p != nil { // the same at all who apply it
+		if p := recover(); p != nil { // the panic is the same at every gateway that applies the entry
 			err = fmt.Errorf("agree: entry %d: %v", index, p)
 		}
 	}()
-	if len(raw) == 0 { // a leader's first
+	if len(raw) == 0 { // the empty entry that a new leader commits first
 		s.Index = index
 		return nil, nil
 	}
-	if m := raw[0]; (m == seatMark || m == goneMark) && len(raw) >= 9 {
+	if m := raw[0]; (m == voterChangeMark || m == voterRemovalMark) && len(raw) >= 9 {
 		s.Index = index
 		var v Voter
 		if len(raw) == 9 {
 			return nil, nil
 		}
 		if err := msgpack.Unmarshal(raw[9:], &v); err != nil || v.ID != binary.BigEndian.Uint64(raw[1:]) {
-			return nil, fmt.Errorf("agree: entry %d is not understood", index)
+			return nil, fmt.Errorf("agree: entry %d: malformed voter change", index)
 		}
-		s.seat(v, m == goneMark)
+		s.applyVoterChange(v, m == voterRemovalMark)
 		return nil, nil
 	}
 	e = &Entry{}
@@ -53,46 +55,47 @@
 	return e, s.Apply(index, e)
 }
 
-// Follower is the copy of one that does not vote.
+// Follower is the copy of the state at a gateway that does not vote.
 type Follower struct {
-	State *State // nil before anything is known
-	seen  func(Applied)
+	State     *State // nil before any state has been received
+	onApplied func(Applied)
 }
 
-// NewFollower begins with what is known, nil for nothing. seen is told of each entry that is applied.
-func NewFollower(s *State, seen func(Applied)) *Follower { return &Follower{s, seen} }
+// NewFollower returns a follower that starts with the given state, nil for none. onApplied is called for each entry that
+// is applied.
+func NewFollower(s *State, onApplied func(Applied)) *Follower { return &Follower{s, onApplied} }
 
-// After is the last entry that is known.
-func (f *Follower) After() uint64 {
+// LastIndex returns the index of the last entry that has been applied.
+func (f *Follower) LastIndex() uint64 {
 	if f.State == nil {
 		return 0
 	}
 	return f.State.Index
 }
 
-// Take applies entries as they are told, the first of them being the one at an index. What is known already is passed over;
-// a gap is refused.
-func (f *Follower) Take(from uint64, raw [][]byte) error {
+// ApplyEntries applies raw entries, the first of which has index from. Entries that have been applied already are
+// skipped; a gap is an error.
+func (f *Follower) ApplyEntries(from uint64, raw [][]byte) error {
 	for i, b := range raw {
 		index := from + uint64(i)
 		switch {
-		case index <= f.After():
+		case index <= f.LastIndex():
 			continue
-		case f.State == nil || index != f.After()+1:
-			return fmt.Errorf("agree: entry %d comes after %d", index, f.After())
+		case f.State == nil || index != f.LastIndex()+1:
+			return fmt.Errorf("agree: gap in the entries: got entry %d after entry %d", index, f.LastIndex())
 		}
-		e, err := f.State.take(index, b)
-		f.seen(Applied{Index: index, Raw: b, Entry: e, Err: err})
+		e, err := f.State.applyRaw(index, b)
+		f.onApplied(Applied{Index: index, Raw: b, Entry: e, Err: err})
 	}
 	return nil
 }
 
-// Newer reports whether a state counts where another one is known.
+// Newer reports whether a state with the given era and index is newer than another one.
 func Newer(era, index uint64, old *State) bool {
 	return old == nil || era > old.Era || era == old.Era && index > old.Index
 }
 
-// Replace takes a whole state in place of what is known, if it is newer.
+// Replace decodes a whole state and uses it in place of the current one if it is newer.
 func (f *Follower) Replace(b []byte) error {
 	s, err := Decode(b)
 	if err != nil {
@@ -100,7 +103,7 @@
 	}
 	if Newer(s.Era, s.Index, f.State) {
 		f.State = s
-		f.seen(Applied{Index: s.Index, Whole: true})
+		f.onApplied(Applied{Index: s.Index, Snapshot: true})
 	}
 	return nil
 }
--- a/internal/fleet/replog/group.go
+++ b/internal/fleet/replog/group.go
@@ -11,163 +11,169 @@
 )
 
 const (
-	electionTicks  = 10 // of Tick without a word of the leader
-	heartbeatTicks = 2
-	keepEntries    = 512 // behind the last one applied, for those that were away
-	compactEvery   = 1024
-	maxPerMessage  = 512 << 10
-	maxInflight    = 64
-	maxUncommitted = 8 << 20
+	electionTicks  = 10        // ticks without a message from the leader before an election
+	heartbeatTicks = 2         // ticks between heartbeats of the leader
+	keepEntries    = 512       // applied entries that stay in memory for voters that have fallen behind
+	compactEvery   = 1024      // entries between two snapshots
+	maxPerMessage  = 512 << 10 // bytes of entries in a message
+	maxInflight    = 64        // messages to a voter that it has not acknowledged
+	maxUncommitted = 8 << 20   // bytes of entries that are not committed
 )
 
-// Group is one voter's part in holding the log. It belongs to one goroutine, and never waits.
+// Group is one voter's part in replicating the log. It must be used by one goroutine only, and it never blocks.
 type Group struct {
-	id      uint64
-	self    string
-	state   *State
-	rn      *raft.RawNode
-	mem     *raft.MemoryStorage
-	conf    *pb.ConfState
-	pending *raft.Ready
-	applied uint64
-	cut     uint64 // entries up to this one have been compacted
-	seen    func(Applied)
-	lead    uint64
-	heard   bool // of a leader, since the last call of Heard
-	seated  bool // who votes has changed since the last snapshot
-	removed bool // it is no voter any more
-
-	ticks    uint64
-	answered map[uint64]uint64 // the tick at which another voter or learner was last heard of
+	id            uint64
+	self          string
+	state         *State // nil before the first snapshot of a learner
+	node          *raft.RawNode
+	storage       *raft.MemoryStorage
+	confState     *pb.ConfState
+	pendingReady  *raft.Ready // what Ready returned last, until Written is called
+	applied       uint64      // index of the last applied entry
+	compactedTo   uint64      // index up to which entries have been compacted
+	onApplied     func(Applied)
+	leaderID      uint64 // 0 if unknown
+	leaderContact bool   // a leader was in contact since the last call of TakeLeaderContact
+	votersChanged bool   // the voters have changed since the last snapshot
+	removed       bool   // the other voters have removed this one
+
+	ticks           uint64
+	lastContactTick map[uint64]uint64 // by voter ID, the tick of the last message from that voter or learner
 }
 
-var errStopped = errors.New("agree: this gateway holds no log")
+var errStopped = errors.New("agree: this gateway has stopped its part of the log")
 
 func (g *Group) start() (err error) {
-	defer g.guard(&err)
-	g.rn, err = raft.NewRawNode(&raft.Config{ID: g.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: g.mem, Applied: g.applied,
-		MaxSizePerMsg: maxPerMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted, CheckQuorum: true, PreVote: true,
-		StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: quiet{}})
+	defer g.recoverPanic(&err)
+	g.node, err = raft.NewRawNode(&raft.Config{ID: g.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: g.storage,
+		Applied: g.applied, MaxSizePerMsg: maxPerMessage, MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommitted,
+		CheckQuorum: true, PreVote: true, StepDownOnRemoval: true, DisableProposalForwarding: true, Logger: discardLogger{}})
 	return err
 }
 
-// guard makes an error of a panic in the library: the gateway serves on, without its vote.
-func (g *Group) guard(err *error) {
+// recoverPanic turns a panic in the raft library into an error. The gateway goes on without its vote.
+func (g *Group) recoverPanic(err *error) {
 	if p := recover(); p != nil {
-		g.rn = nil
-		*err = fmt.Errorf("agree: the log can't be held any more: %v", p)
+		g.node = nil
+		*err = fmt.Errorf("agree: raft panicked, this gateway stops its part of the log: %v", p)
 	}
 }
 
-// ID is the voter's number.
+// ID returns the voter ID.
 func (g *Group) ID() uint64 { return g.id }
 
-// State is what the log has come to, nil before the first entry is known. It is not to be changed.
+// State returns the state that the applied entries have led to, nil before the first one is known. It must not be
+// modified.
 func (g *Group) State() *State { return g.state }
 
-// Tick says that a step of time has passed.
+// Tick advances the time by one tick.
 func (g *Group) Tick() (err error) {
-	defer g.guard(&err)
-	if g.rn == nil {
+	defer g.recoverPanic(&err)
+	if g.node == nil {
 		return errStopped
 	}
 	g.ticks++
-	g.rn.Tick()
+	g.node.Tick()
 	return nil
 }
 
-// Step takes a message of another voter.
+// Step handles a message of another voter.
 func (g *Group) Step(b []byte) (err error) {
-	defer g.guard(&err)
-	if g.rn == nil {
+	defer g.recoverPanic(&err)
+	if g.node == nil {
 		return errStopped
 	}
 	m := &pb.Message{}
 	if err := proto.Unmarshal(b, m); err != nil {
-		return fmt.Errorf("agree: message: %w", err)
+		return fmt.Errorf("agree: decode raft message: %w", err)
 	}
 	if m.GetTo() != g.id || raft.IsLocalMsg(m.GetType()) {
-		return fmt.Errorf("agree: a message of %v to %x", m.GetType(), m.GetTo())
+		return fmt.Errorf("agree: unexpected raft message of type %v for voter %x", m.GetType(), m.GetTo())
 	}
-	if m.GetFrom() == g.lead && g.lead != 0 {
-		g.heard = true
+	if m.GetFrom() == g.leaderID && g.leaderID != 0 {
+		g.leaderContact = true
 	}
-	if g.state != nil && g.state.votes(m.GetFrom()) {
-		g.answered[m.GetFrom()] = g.ticks
+	if g.state != nil && g.state.isMember(m.GetFrom()) {
+		g.lastContactTick[m.GetFrom()] = g.ticks
 	}
-	return g.rn.Step(m)
+	return g.node.Step(m)
 }
 
-// Heard reports whether a leader was heard, or this voter leads with a majority, since the last call.
-func (g *Group) Heard() bool {
-	h := g.heard || g.Leads()
-	g.heard = false
-	return h
+// TakeLeaderContact reports whether this voter has had contact with a leader since the last call, or is itself the
+// leader, which implies contact with a majority.
+func (g *Group) TakeLeaderContact() bool {
+	contact := g.leaderContact || g.Leads()
+	g.leaderContact = false
+	return contact
 }
 
-// Removed reports whether the others have removed this voter.
+// Removed reports whether the other voters have removed this one.
 func (g *Group) Removed() bool { return g.removed }
 
-// Leads reports whether this voter leads.
-func (g *Group) Leads() bool { return g.rn != nil && g.rn.BasicStatus().RaftState == raft.StateLeader }
+// Leads reports whether this voter is the leader.
+func (g *Group) Leads() bool {
+	return g.node != nil && g.node.BasicStatus().RaftState == raft.StateLeader
+}
 
-// Caught reports whether a leader has applied all that was agreed before it led.
-func (g *Group) Caught() bool {
+// LeaderReady reports whether this voter is the leader and has applied all entries that were committed before it became
+// the leader.
+func (g *Group) LeaderReady() bool {
 	if !g.Leads() {
 		return false
 	}
-	st := g.rn.BasicStatus()
-	term, err := g.mem.Term(g.applied)
-	return err == nil && term == st.HardState.GetTerm()
+	status := g.node.BasicStatus()
+	term, err := g.storage.Term(g.applied)
+	return err == nil && term == status.HardState.GetTerm()
 }
 
-// Leader is the number of who leads, 0 if nobody is known to.
+// Leader returns the ID of the leader, 0 if it is unknown.
 func (g *Group) Leader() uint64 {
-	if g.rn == nil {
+	if g.node == nil {
 		return 0
 	}
-	return g.rn.BasicStatus().Lead
+	return g.node.BasicStatus().Lead
 }
 
-// Behind is how many entries another voter or learner has not been sent or has not acknowledged; false if it is none or has
-// not been heard of for an election's time. Raft's own mark of who is active is of no use for that: raft takes it off all, once
-// in that time, to see who sets it again.
+// Behind returns how many entries another voter or learner has not acknowledged. ok is false if there is no such member
+// or if it has not sent a message within an election timeout. Raft's own flag for active members cannot be used for
+// that: raft clears it for all members once per election timeout to see which of them set it again.
 func (g *Group) Behind(id uint64) (n uint64, ok bool) {
 	if !g.Leads() {
 		return 0, false
 	}
-	p, ok := g.rn.Status().Progress[id]
+	progress, ok := g.node.Status().Progress[id]
 	if !ok {
 		return 0, false
 	}
-	last, _ := g.mem.LastIndex()
-	at, heard := g.answered[id]
-	return last - min(last, p.Match), heard && g.ticks-at <= electionTicks
+	last, _ := g.storage.LastIndex()
+	tick, known := g.lastContactTick[id]
+	return last - min(last, progress.Match), known && g.ticks-tick <= electionTicks
 }
 
-// Propose puts an entry into the log, if this voter leads. At is its time, which does not go back.
+// Propose adds an entry to the log if this voter is the leader. at becomes the time of the entry, except that the time
+// never goes back.
 func (g *Group) Propose(e *Entry, at int64) (err error) {
-	defer g.guard(&err)
-	if !g.Caught() {
-		return errors.New("agree: another voter leads")
+	defer g.recoverPanic(&err)
+	if !g.LeaderReady() {
+		return errors.New("agree: this voter is not the leader, or has not applied all committed entries")
 	}
 	e.At = max(at, g.state.At)
 	b, err := msgpack.Marshal(e)
 	if err != nil {
 		return err
 	}
-	return g.rn.Propose(b)
+	return g.node.Propose(b)
 }
 
-// Change proposes one change of who votes.
-func (g *Group) Change(v Voter, gone bool) (err error) {
-	defer g.guard(&err)
-	if !g.Caught() {
-		return errors.New("agree: another voter leads")
+// ProposeVoterChange proposes to add, update or remove one voter.
+func (g *Group) ProposeVoterChange(v Voter, remove bool) (err error) {
+	defer g.recoverPanic(&err)
+	if !g.LeaderReady() {
+		return errors.New("agree: this voter is not the leader, or has not applied all committed entries")
 	}
 	kind := pb.ConfChangeAddNode
 	switch {
-	case gone:
+	case remove:
 		kind = pb.ConfChangeRemoveNode
 	case v.Learner:
 		kind = pb.ConfChangeAddLearnerNode
@@ -176,23 +182,23 @@
 	if err != nil {
 		return err
 	}
-	return g.rn.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: &v.ID, Context: context})
+	return g.node.ProposeConfChange(&pb.ConfChange{Type: &kind, NodeId: &v.ID, Context: context})
 }
 
-// Yield hands the lead to another voter, before this one goes out.
-func (g *Group) Yield(to uint64) {
+// TransferLead makes another voter the leader, before this one becomes unavailable.
+func (g *Group) TransferLead(to uint64) {
 	var err error
-	defer g.guard(&err)
+	defer g.recoverPanic(&err)
 	if g.Leads() {
-		g.rn.TransferLeader(to)
+		g.node.TransferLeader(to)
 	}
 }
 
-// Campaign has this voter try to lead at once.
+// Campaign makes this voter stand for election at once.
 func (g *Group) Campaign() (err error) {
-	defer g.guard(&err)
-	if g.rn == nil {
+	defer g.recoverPanic(&err)
+	if g.node == nil {
 		return errStopped
 	}
-	return g.rn.Campaign()
+	return g.node.Campaign()
 }
--- a/internal/fleet/replog/open.go
+++ b/internal/fleet/replog/open.go
@@ -9,55 +9,55 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Envelope is a message to another voter.
+// Envelope is a raft message to another voter, identified by its ID.
 type Envelope struct {
 	To   uint64
 	Body []byte
 }
 
-// Disk is what a voter has on disk: its log and what that log begins with.
+// Disk is what a voter has stored: its log, and the snapshot that the log starts from.
 type Disk struct {
-	ID      uint64 // the disk's own number, drawn when it was empty
-	Hard    []byte // raft's term, vote and commit
-	Snap    []byte // raft's snapshot: the state and who votes, as of an entry
-	Entries map[uint64][]byte
+	ID      uint64            // voter ID, drawn when the disk was empty
+	Hard    []byte            // raft's HardState: term, vote and commit index
+	Snap    []byte            // raft's snapshot: the state and the voters as of an entry
+	Entries map[uint64][]byte // by index
 }
 
-// Write is what has to be on disk before Group goes on. A nil value removes.
+// Write is what has to be stored before the Group goes on. A nil entry is deleted from the disk.
 type Write struct {
-	Hard, Snap []byte            // nil: as they are
+	Hard, Snap []byte            // nil if unchanged
 	Entries    map[uint64][]byte // by index
 }
 
-// Output is what a Group wants done. Where Write is not nil, Mail is sent and Written called once it is on disk, and nothing
-// else comes meanwhile.
+// Output is what a Group wants done. If Write is not nil, it has to be on disk before Messages are sent and Written is
+// called, and Ready returns nothing in between.
 type Output struct {
-	Write *Write
-	Mail  []Envelope
+	Write    *Write
+	Messages []Envelope
 }
 
-// Applied is an entry of the log that has been applied, and what came of it; Entry is nil for raft's own. Whole says that it
-// is a state that has been taken in place of what was known.
+// Applied is an applied entry of the log and its result. Entry is nil for raft's own entries. Snapshot says that a whole
+// state was adopted in place of the previous one.
 type Applied struct {
-	Index uint64
-	Whole bool
-	Raw   []byte
-	Entry *Entry
-	Err   error
+	Index    uint64
+	Snapshot bool
+	Raw      []byte
+	Entry    *Entry
+	Err      error
 }
 
-// Found begins a log with its first voters, and returns what each of them has to have on disk before it takes part.
-func Found(state *State, voters []Voter) (*Write, error) {
+// Bootstrap starts a log with its first voters and returns what each of them has to store before it takes part.
+func Bootstrap(state *State, voters []Voter) (*Write, error) {
 	state.Index, state.Voters = state.Index+1, nil
 	conf := &pb.ConfState{}
 	for _, v := range voters {
-		state.seat(v, false)
+		state.applyVoterChange(v, false)
 		conf.Voters = append(conf.Voters, v.ID)
 	}
-	return snapWrite(state, conf, state.Index, 1)
+	return snapshotWrite(state, conf, state.Index, 1)
 }
 
-func snapWrite(state *State, conf *pb.ConfState, index, term uint64) (*Write, error) {
+func snapshotWrite(state *State, conf *pb.ConfState, index, term uint64) (*Write, error) {
 	data, err := state.Encode()
 	if err != nil {
 		return nil, err
@@ -70,48 +70,49 @@
 	return &Write{Hard: hard, Snap: b, Entries: map[uint64][]byte{}}, err
 }
 
-// Open takes part again with what is on disk. seen is told of each entry that is applied.
-func Open(self string, d Disk, seen func(Applied)) (*Group, error) {
-	g := &Group{id: d.ID, self: self, mem: raft.NewMemoryStorage(), seen: seen, answered: map[uint64]uint64{}}
+// Open continues with the log on disk. onApplied is called for each entry that is applied.
+func Open(self string, disk Disk, onApplied func(Applied)) (*Group, error) {
+	g := &Group{id: disk.ID, self: self, storage: raft.NewMemoryStorage(), onApplied: onApplied, lastContactTick: map[uint64]uint64{}}
 	hard, snap := &pb.HardState{}, &pb.Snapshot{}
-	if err := errors.Join(proto.Unmarshal(d.Hard, hard), proto.Unmarshal(d.Snap, snap)); err != nil {
-		return nil, fmt.Errorf("agree: log on disk: %w", err)
+	if err := errors.Join(proto.Unmarshal(disk.Hard, hard), proto.Unmarshal(disk.Snap, snap)); err != nil {
+		return nil, fmt.Errorf("agree: decode the log on disk: %w", err)
 	}
 	if !raft.IsEmptySnap(snap) {
 		var err error
 		if g.state, err = Decode(snap.GetData()); err != nil {
 			return nil, err
 		}
-		if err := g.mem.ApplySnapshot(snap); err != nil {
-			return nil, fmt.Errorf("agree: log on disk: %w", err)
+		if err := g.storage.ApplySnapshot(snap); err != nil {
+			return nil, fmt.Errorf("agree: apply the snapshot on disk: %w", err)
 		}
-		g.conf, g.applied, g.cut = snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
+		g.confState, g.applied, g.compactedTo = snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex(), snap.GetMetadata().GetIndex()
 	}
 	var entries []*pb.Entry
-	for i := g.applied + 1; d.Entries[i] != nil; i++ {
+	for i := g.applied + 1; disk.Entries[i] != nil; i++ {
 		e := &pb.Entry{}
-		if err := proto.Unmarshal(d.Entries[i], e); err != nil || e.GetIndex() != i {
-			return nil, fmt.Errorf("agree: entry %d on disk: %w", i, errors.Join(err, errors.New("not what was written")))
+		if err := proto.Unmarshal(disk.Entries[i], e); err != nil || e.GetIndex() != i {
+			return nil, fmt.Errorf("agree: entry %d on disk: %w", i, errors.Join(err, errors.New("malformed, or stored under another index")))
 		}
 		entries = append(entries, e)
 	}
-	for i := range d.Entries {
+	for i := range disk.Entries {
 		if i > g.applied+uint64(len(entries)) {
 			return nil, fmt.Errorf("agree: the log on disk has a gap before entry %d", i)
 		}
 	}
-	if err := g.mem.Append(entries); err != nil {
-		return nil, fmt.Errorf("agree: log on disk: %w", err)
+	if err := g.storage.Append(entries); err != nil {
+		return nil, fmt.Errorf("agree: append the entries on disk: %w", err)
 	}
-	if c := hard.GetCommit(); c > g.applied+uint64(len(entries)) || c < g.applied && c > 0 {
-		return nil, fmt.Errorf("agree: the log on disk ends at %d, and %d is committed", g.applied+uint64(len(entries)), c)
+	if commit := hard.GetCommit(); commit > g.applied+uint64(len(entries)) || commit < g.applied && commit > 0 {
+		return nil, fmt.Errorf("agree: the log on disk ends at entry %d, which does not fit committed entry %d",
+			g.applied+uint64(len(entries)), commit)
 	}
-	g.mem.SetHardState(hard)
+	g.storage.SetHardState(hard)
 	return g, g.start()
 }
 
-// Learn begins with nothing, for one that the voters are taking in: they send what it has to know.
-func Learn(self string, id uint64, seen func(Applied)) (*Group, error) {
-	g := &Group{id: id, self: self, mem: raft.NewMemoryStorage(), seen: seen, answered: map[uint64]uint64{}}
+// OpenLearner starts with an empty log, for a gateway that the voters are adding: they send it the state.
+func OpenLearner(self string, id uint64, onApplied func(Applied)) (*Group, error) {
+	g := &Group{id: id, self: self, storage: raft.NewMemoryStorage(), onApplied: onApplied, lastContactTick: map[uint64]uint64{}}
 	return g, g.start()
 }
