--- a/internal/fleet/replog/ready.go
+++ b/internal/fleet/replog/ready.go
@@ -8,103 +8,105 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Ready returns what is to be done now, nil for nothing or while something is being written.
+// Ready returns what is to be done now. It returns nil if there is nothing to do, or until Written has been called for
+// the previous output.
 func (g *Group) Ready() (out *Output, err error) {
-	defer g.guard(&err)
-	if g.rn == nil {
+	defer g.recoverPanic(&err)
+	if g.node == nil {
 		return nil, errStopped
 	}
-	if g.pending != nil || !g.rn.HasReady() {
+	if g.pendingReady != nil || !g.node.HasReady() {
 		return nil, nil
 	}
-	rd := g.rn.Ready()
-	g.pending = &rd
-	if rd.SoftState != nil {
-		g.lead = rd.SoftState.Lead
+	ready := g.node.Ready()
+	g.pendingReady = &ready
+	if ready.SoftState != nil {
+		g.leaderID = ready.SoftState.Lead
 	}
 	out = &Output{}
-	w := &Write{Entries: map[uint64][]byte{}}
-	if !raft.IsEmptyHardState(rd.HardState) {
-		if w.Hard, err = proto.Marshal(rd.HardState); err != nil {
+	write := &Write{Entries: map[uint64][]byte{}}
+	if !raft.IsEmptyHardState(ready.HardState) {
+		if write.Hard, err = proto.Marshal(ready.HardState); err != nil {
 			return nil, err
 		}
-		g.mem.SetHardState(rd.HardState)
+		g.storage.SetHardState(ready.HardState)
 	}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := g.restore(rd.Snapshot, w); err != nil {
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		if err := g.restore(ready.Snapshot, write); err != nil {
 			return nil, err
 		}
 	}
-	last, _ := g.mem.LastIndex()
-	for _, e := range rd.Entries {
-		if w.Entries[e.GetIndex()], err = proto.Marshal(e); err != nil {
+	last, _ := g.storage.LastIndex()
+	for _, e := range ready.Entries {
+		if write.Entries[e.GetIndex()], err = proto.Marshal(e); err != nil {
 			return nil, err
 		}
 	}
-	if n := len(rd.Entries); n > 0 {
-		for i := rd.Entries[n-1].GetIndex() + 1; i <= last; i++ {
-			w.Entries[i] = nil // what stood there was never agreed
+	if n := len(ready.Entries); n > 0 {
+		for i := ready.Entries[n-1].GetIndex() + 1; i <= last; i++ {
+			write.Entries[i] = nil // overwritten entries were never committed
 		}
-		if err := g.mem.Append(rd.Entries); err != nil {
+		if err := g.storage.Append(ready.Entries); err != nil {
 			return nil, err
 		}
 	}
-	if w.Hard != nil || w.Snap != nil || len(w.Entries) > 0 {
-		out.Write = w
+	if write.Hard != nil || write.Snap != nil || len(write.Entries) > 0 {
+		out.Write = write
 	}
-	for _, m := range rd.Messages {
+	for _, m := range ready.Messages {
 		b, err := proto.Marshal(m)
 		if err != nil {
 			return nil, err
 		}
-		out.Mail = append(out.Mail, Envelope{m.GetTo(), b})
+		out.Messages = append(out.Messages, Envelope{m.GetTo(), b})
 	}
 	return out, nil
 }
 
-// restore takes a snapshot of another voter in place of all that is here.
-func (g *Group) restore(snap *pb.Snapshot, w *Write) error {
+// restore replaces the log and the state by a snapshot of another voter.
+func (g *Group) restore(snap *pb.Snapshot, write *Write) error {
 	s, err := Decode(snap.GetData())
 	if err != nil {
 		return err
 	}
-	if w.Snap, err = proto.Marshal(snap); err != nil {
+	if write.Snap, err = proto.Marshal(snap); err != nil {
 		return err
 	}
-	first, _ := g.mem.FirstIndex()
-	last, _ := g.mem.LastIndex()
+	first, _ := g.storage.FirstIndex()
+	last, _ := g.storage.LastIndex()
 	for i := first; i <= last; i++ {
-		w.Entries[i] = nil
+		write.Entries[i] = nil
 	}
-	if err := g.mem.ApplySnapshot(snap); err != nil {
+	if err := g.storage.ApplySnapshot(snap); err != nil {
 		return err
 	}
-	g.state, g.conf = s, snap.GetMetadata().GetConfState()
+	g.state, g.confState = s, snap.GetMetadata().GetConfState()
 	g.applied = snap.GetMetadata().GetIndex()
-	g.cut = g.applied
-	g.seen(Applied{Index: g.applied, Whole: true})
+	g.compactedTo = g.applied
+	g.onApplied(Applied{Index: g.applied, Snapshot: true})
 	return nil
 }
 
-// Written says that what Ready wanted is on disk, and its mail on its way. It may return more to write: what is compacted.
+// Written is called when the output of Ready is on disk and its messages have been sent. It may return a further write:
+// a new snapshot with the removal of compacted entries.
 func (g *Group) Written() (more *Write, err error) {
-	defer g.guard(&err)
-	if g.rn == nil || g.pending == nil {
+	defer g.recoverPanic(&err)
+	if g.node == nil || g.pendingReady == nil {
 		return nil, errStopped
 	}
-	rd := *g.pending
-	g.pending = nil
-	for _, e := range rd.CommittedEntries {
+	ready := *g.pendingReady
+	g.pendingReady = nil
+	for _, e := range ready.CommittedEntries {
 		g.apply(e)
 	}
-	for _, m := range rd.Messages {
-		if m.GetType() == pb.MsgSnap { // whether it came shows by what comes back
-			g.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
+	for _, m := range ready.Messages {
+		if m.GetType() == pb.MsgSnap { // the snapshot's arrival shows in later answers
+			g.node.ReportSnapshot(m.GetTo(), raft.SnapshotFinish)
 		}
 	}
-	g.rn.Advance(rd)
+	g.node.Advance(ready)
 	if g.removed {
-		g.rn = nil
+		g.node = nil
 		return nil, nil
 	}
 	return g.compact()
@@ -112,83 +114,83 @@
 
 func (g *Group) apply(e *pb.Entry) {
 	g.applied = e.GetIndex()
-	a := Applied{Index: e.GetIndex(), Raw: e.GetData()}
+	applied := Applied{Index: e.GetIndex(), Raw: e.GetData()}
 	if e.GetType() == pb.EntryConfChange {
-		cc := &pb.ConfChange{}
-		if err := proto.Unmarshal(e.GetData(), cc); err != nil {
-			cc = &pb.ConfChange{}
+		change := &pb.ConfChange{}
+		if err := proto.Unmarshal(e.GetData(), change); err != nil {
+			change = &pb.ConfChange{}
 		}
-		gone := cc.GetType() == pb.ConfChangeRemoveNode
-		g.conf = g.rn.ApplyConfChange(cc)
-		a.Raw = seatRaw(cc.GetNodeId(), gone, cc.GetContext())
-		g.seated = true // who is taken in needs a snapshot that names it
-		if gone {
-			delete(g.answered, cc.GetNodeId())
+		remove := change.GetType() == pb.ConfChangeRemoveNode
+		g.confState = g.node.ApplyConfChange(change)
+		applied.Raw = encodeVoterChange(change.GetNodeId(), remove, change.GetContext())
+		g.votersChanged = true // a new member needs a snapshot that lists it
+		if remove {
+			delete(g.lastContactTick, change.GetNodeId())
 		}
-		g.removed = g.removed || gone && cc.GetNodeId() == g.id
+		g.removed = g.removed || remove && change.GetNodeId() == g.id
 	}
-	a.Entry, a.Err = g.state.take(e.GetIndex(), a.Raw)
-	g.seen(a)
+	applied.Entry, applied.Err = g.state.applyRaw(e.GetIndex(), applied.Raw)
+	g.onApplied(applied)
 }
 
-// compact drops what nobody needs who is not far behind.
+// compact takes a snapshot and drops entries that no voter needs unless it is far behind.
 func (g *Group) compact() (*Write, error) {
-	if g.state == nil || g.applied < g.cut+compactEvery && !g.seated {
+	if g.state == nil || g.applied < g.compactedTo+compactEvery && !g.votersChanged {
 		return nil, nil
 	}
-	g.seated = false
-	term, err := g.mem.Term(g.applied)
+	g.votersChanged = false
+	term, err := g.storage.Term(g.applied)
 	if err != nil {
 		return nil, err
 	}
-	w, err := snapWrite(g.state, g.conf, g.applied, term)
+	write, err := snapshotWrite(g.state, g.confState, g.applied, term)
 	if err != nil {
 		return nil, err
 	}
-	w.Hard = nil
+	write.Hard = nil
 	snap := &pb.Snapshot{}
-	if err := proto.Unmarshal(w.Snap, snap); err != nil {
+	if err := proto.Unmarshal(write.Snap, snap); err != nil {
 		return nil, err
 	}
-	if _, err := g.mem.CreateSnapshot(g.applied, g.conf, snap.GetData()); err != nil {
+	if _, err := g.storage.CreateSnapshot(g.applied, g.confState, snap.GetData()); err != nil {
 		return nil, err
 	}
-	first, _ := g.mem.FirstIndex()
-	for i := g.cut + 1; i <= g.applied; i++ { // on disk the log begins after the snapshot
-		w.Entries[i] = nil
+	first, _ := g.storage.FirstIndex()
+	for i := g.compactedTo + 1; i <= g.applied; i++ { // the log on disk starts after the snapshot
+		write.Entries[i] = nil
 	}
 	if to := g.applied - min(g.applied, keepEntries); to > first {
-		if err := g.mem.Compact(to); err != nil {
+		if err := g.storage.Compact(to); err != nil {
 			return nil, err
 		}
 	}
-	g.cut = g.applied
-	return w, nil
+	g.compactedTo = g.applied
+	return write, nil
 }
 
-// quiet takes the library's own log: what matters of it is seen by what it does.
-type quiet struct{}
+// discardLogger discards the raft library's own log messages: failures that matter show in the results of its calls.
+type discardLogger struct{}
 
-func (quiet) Debug(...any) {}
+func (discardLogger) Debug(...any) {}
 
-func (quiet) Debugf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
 
-func (quiet) Error(...any) {}
+func (discardLogger) Error(...any) {}
 
-func (quiet) Errorf(string, ...any) {}
+func (discardLogger) Errorf(string, ...any) {}
 
-func (quiet) Info(...any) {}
+func (discardLogger) Info(...any) {}
 
-func (quiet) Infof(string, ...any) {}
+func (discardLogger) Infof(string, ...any) {}
 
-func (quiet) Warning(...any) {}
+func (discardLogger) Warning(...any) {}
 
-func (quiet) Warningf(string, ...any) {}
+func (discardLogger) Warningf(string, ...any) {}
 
-func (quiet) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (quiet) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
-func (quiet) Panic(v ...any) { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panic(v ...any) { panic(fmt.Sprint(v...)) }
 
-func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
--- a/internal/fleet/replog/state.go
+++ b/internal/fleet/replog/state.go
@@ -1,6 +1,7 @@
-// Package replog is what a fleet of gateways has agreed: an ordered log of decisions, held by a few of them that vote, and
-// followed by all. State is the one value that the log's entries come to; it is pure, and so is Group, a voter's part, which
-// runs etcd's raft with the time, the messages and the disk handed in.
+// Package replog implements the decision log that a fleet of gateways shares: an ordered log that a few voting gateways
+// replicate and that all gateways follow. State is the value that results from applying the entries of the log. Neither
+// State nor Group uses a clock, a disk or the network itself: Group, one voter's part of the replication, runs etcd's
+// raft on the ticks, messages and disk contents that its caller passes in.
 package replog
 
 import (
@@ -15,82 +16,87 @@
 	"quillrail/internal/fleet/site"
 )
 
-// Level is the newest kind of entry that this program understands; a fleet uses those that all of it do.
+// Level is the newest level of entries that this program understands. A fleet uses only entry kinds that all of its
+// gateways understand.
 const Level = 1
 
-// Voter is a gateway that votes, or learns to. Its number is drawn when its disk was empty: another disk is another voter.
+// Voter is a gateway that votes, or a learner that is to become one. ID is drawn when the gateway's disk is empty, so a
+// gateway with another disk is another voter.
 type Voter struct {
 	ID      uint64
 	Name    string
 	Hall    string
 	Learner bool
-	At      int64 // of the last change, Unix ms
+	At      int64 // time of the last change of this voter, Unix ms
 }
 
-// Rules are settings that all share. They are agreed like all else.
+// Rules are settings that all gateways share. They are agreed through the log.
 type Rules struct {
-	ClockBoundMs  int64 // no clock is off from true time by more
-	FreezeAheadMs int64 // a freeze is declared so long before it begins
+	ClockBoundMs  int64 // upper bound on the error of every gateway's clock, ms
+	FreezeAheadMs int64 // minimum time between the declaration of a freeze and its start, ms
 }
 
-// DefaultRules are those of a fleet that was told nothing else.
+// DefaultRules are the rules of a fleet that has not configured any.
 var DefaultRules = Rules{ClockBoundMs: 500, FreezeAheadMs: 60_000}
 
-// State is what is agreed. It is changed by Apply alone: same entries, same state.
+// State is what the fleet has agreed on. Only Apply and voter changes modify it, so the same entries always give the
+// same state.
 type State struct {
-	Level  int
-	Era    uint64 // grows when an agreement is begun anew without its majority
-	Index  uint64 // of the last entry
-	At     int64  // its time, Unix ms; it never goes back
-	Voters []Voter
-	Rules  Rules
-	Names  site.KnownNames // what restrictions may name
-	Said   map[string]*Said
-	Change *change.State
-	Freeze *freeze.State
-	Site   *site.State
+	Level     int
+	Era       uint64 // incremented each time operators rebuild the log without its majority
+	Index     uint64 // index of the last applied entry
+	At        int64  // time of the log, Unix ms; it never decreases
+	Voters    []Voter
+	Rules     Rules
+	Names     site.KnownNames              // tenants, classes and halls that restrictions may refer to
+	Proposers map[string]*AppliedProposals `json:"Said"` // by gateway
+	Change    *change.State
+	Freeze    *freeze.State
+	Site      *site.State
 }
 
-// Said is which proposals of a gateway have been applied: a proposal may come twice, and counts once.
-type Said struct {
-	Life, Top uint64
-	Mask      uint64 // bit k: Top-k has been
-	Index     uint64
+// AppliedProposals records which proposals of a gateway have been applied: a proposal may arrive more than once and must
+// be applied only once.
+type AppliedProposals struct {
+	Incarnation uint64 `json:"Life"` // of the gateway's process
+	Highest     uint64 `json:"Top"`  // highest sequence number that has been applied
+	Mask        uint64 // bit k is set if sequence number Highest-k has been applied
+	Index       uint64 // index of the gateway's latest entry
 }
 
 const (
-	window   = 64   // proposals that a gateway may have under way
-	maxSaid  = 4096 // gateways that are remembered
-	maxEntry = 256 << 10
+	proposalWindow = 64   // sequence numbers, up to the highest one, that are remembered for each gateway
+	maxProposers   = 4096 // gateways whose proposals are remembered
+	maxEntryBytes  = 256 << 10
 )
 
-// NewState is the state before the first entry.
+// NewState returns the state before the first entry.
 func NewState(names site.KnownNames, rules Rules, limits change.Limits) *State {
-	return &State{Level: Level, Rules: rules, Names: names, Said: map[string]*Said{}, Change: change.NewState(limits), Freeze: &freeze.State{},
-		Site: &site.State{}}
+	return &State{Level: Level, Rules: rules, Names: names, Proposers: map[string]*AppliedProposals{},
+		Change: change.NewState(limits), Freeze: &freeze.State{}, Site: &site.State{}}
 }
 
-// Clock is the log's time with the bound on clocks.
+// Clock returns the time of the log together with the bound on clock errors.
 func (s *State) Clock() freeze.Clock {
 	return freeze.Clock{At: time.UnixMilli(s.At), Bound: time.Duration(s.Rules.ClockBoundMs) * time.Millisecond}
 }
 
-// Encode returns the state as bytes, the same for the same state: JSON, which has the keys of maps in order.
+// Encode returns the state as JSON, which is deterministic because JSON sorts the keys of maps.
 func (s *State) Encode() ([]byte, error) { return json.Marshal(s) }
 
-// Decode reads a state.
+// Decode parses an encoded state.
 func Decode(b []byte) (*State, error) {
 	s := &State{}
 	if err := json.Unmarshal(b, s); err != nil {
 		return nil, fmt.Errorf("agree: state: %w", err)
 	}
-	if s.Change == nil || s.Freeze == nil || s.Site == nil || s.Said == nil || s.Change.Things == nil {
+	if s.Change == nil || s.Freeze == nil || s.Site == nil || s.Proposers == nil || s.Change.Things == nil {
 		return nil, fmt.Errorf("agree: a state without its parts")
 	}
 	return s, nil
 }
 
-// Hash is that of the state: two gateways that applied the same entries have the same.
+// Hash returns a hash of the encoded state. Gateways that have applied the same entries have the same hash.
 func (s *State) Hash() uint64 {
 	b, err := s.Encode()
 	if err != nil {
@@ -101,12 +107,12 @@
 	return h.Sum64()
 }
 
-// Voting are the voters that vote.
+// Voting returns the voters without the learners.
 func (s *State) Voting() (out []Voter) {
 	return slices.DeleteFunc(slices.Clone(s.Voters), func(v Voter) bool { return v.Learner })
 }
 
-// Voter returns the one of a name, nil if it is none.
+// Voter returns the voter or learner with the given name, nil if there is none.
 func (s *State) Voter(name string) *Voter {
 	for i := range s.Voters {
 		if s.Voters[i].Name == name {
@@ -116,18 +122,18 @@
 	return nil
 }
 
-// votes reports whether a number is a voter's or a learner's.
-func (s *State) votes(id uint64) bool {
+// isMember reports whether a voter or learner has the given ID.
+func (s *State) isMember(id uint64) bool {
 	return slices.ContainsFunc(s.Voters, func(v Voter) bool { return v.ID == id })
 }
 
-// seat takes a change of who votes: it comes with the log's own entries.
-func (s *State) seat(v Voter, gone bool) {
+// applyVoterChange adds, updates or removes a voter. Such changes come as entries of raft itself.
+func (s *State) applyVoterChange(v Voter, remove bool) {
 	i := slices.IndexFunc(s.Voters, func(o Voter) bool { return o.ID == v.ID })
 	switch {
-	case gone && i >= 0:
+	case remove && i >= 0:
 		s.Voters = slices.Delete(s.Voters, i, i+1)
-	case gone:
+	case remove:
 	case i >= 0:
 		s.Voters[i] = v
 	default:
@@ -136,43 +142,45 @@
 	}
 }
 
-// once reports whether a proposal has not been applied yet, and notes it.
-func (s *State) once(from string, life, seq uint64) bool {
-	x := s.Said[from]
-	if x == nil {
-		if len(s.Said) >= maxSaid { // the one that is silent longest
+// recordProposal reports whether a proposal has not been applied yet, and records it as applied.
+func (s *State) recordProposal(from string, incarnation, seq uint64) bool {
+	applied := s.Proposers[from]
+	if applied == nil {
+		if len(s.Proposers) >= maxProposers { // forget the gateway whose last proposal is the oldest
 			var oldest string
-			for name, o := range s.Said {
-				if oldest == "" || o.Index < s.Said[oldest].Index || o.Index == s.Said[oldest].Index && name < oldest {
+			for name, o := range s.Proposers {
+				if oldest == "" || o.Index < s.Proposers[oldest].Index || o.Index == s.Proposers[oldest].Index && name < oldest {
 					oldest = name
 				}
 			}
-			delete(s.Said, oldest)
+			delete(s.Proposers, oldest)
 		}
-		x = &Said{}
-		s.Said[from] = x
+		applied = &AppliedProposals{}
+		s.Proposers[from] = applied
 	}
-	x.Index = s.Index
+	applied.Index = s.Index
 	switch {
-	case life < x.Life:
+	case incarnation < applied.Incarnation:
 		return false
-	case life > x.Life:
-		x.Life, x.Top, x.Mask = life, seq, 1
+	case incarnation > applied.Incarnation:
+		applied.Incarnation, applied.Highest, applied.Mask = incarnation, seq, 1
 		return true
-	case seq > x.Top:
-		if d := seq - x.Top; d < window {
-			x.Mask = x.Mask<<d | 1
+	case seq > applied.Highest:
+		if d := seq - applied.Highest; d < proposalWindow {
+			applied.Mask = applied.Mask<<d | 1
 		} else {
-			x.Mask = 1
+			applied.Mask = 1
 		}
-		x.Top = seq
+		applied.Highest = seq
 		return true
-	case x.Top-seq >= window || x.Mask>>(x.Top-seq)&1 == 1:
+	case applied.Highest-seq >= proposalWindow || applied.Mask>>(applied.Highest-seq)&1 == 1:
 		return false
 	}
-	x.Mask |= 1 << (x.Top - seq)
+	applied.Mask |= 1 << (applied.Highest - seq)
 	return true
 }
 
-// ahead is how long before its begin a freeze has to be declared.
-func (s *State) ahead() time.Duration { return time.Duration(s.Rules.FreezeAheadMs) * time.Millisecond }
+// freezeNotice returns how long before its start a freeze has to be declared.
+func (s *State) freezeNotice() time.Duration {
+	return time.Duration(s.Rules.FreezeAheadMs) * time.Millisecond
+}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -79,7 +79,7 @@
 	})
 	h.node.Add(func(host *fleet.Host) fleet.Part {
 		h.agent = agreement.New(host, idleAgent{}, agreement.Options{Name: h.name, Hall: halls()[h.at.region], Halls: halls(), Classes: []string{"read", "command", "once"},
-			Tenants: []string{"demo"}, First: h.run.voters, Votes: len(h.run.voters), Replace: time.Minute, Lost: 5 * time.Second,
+			Tenants: []string{"demo"}, InitialVoters: h.run.voters, TargetVoters: len(h.run.voters), ReplaceAfter: time.Minute, HallLostAfter: 5 * time.Second,
 			Limits: change.Defaults, Rules: replog.Rules{ClockBoundMs: 500, FreezeAheadMs: 60_000}, ColdFor: set.ColdFor, Session: "key",
 			Version: "v1", Config: "r1"})
 		return h.agent
@@ -167,11 +167,11 @@
 func (idleAgent) Drain(string)                          {}
 func (idleAgent) Resume()                               {}
 func (idleAgent) Ban(string)                            {}
-func (idleAgent) CallBack(string)                       {}
+func (idleAgent) Unban(string)                          {}
 func (idleAgent) Serving() bool                         { return true }
 func (idleAgent) Warm() bool                            { return true }
 func (idleAgent) Avoids(string) bool                    { return false }
 func (idleAgent) Probe(string, func())                  {}
 func (idleAgent) Copies(string) (there, other []string) { return nil, nil }
-func (idleAgent) Thawed()                               {}
-func (idleAgent) Take()                                 {}
+func (idleAgent) RecheckFreezes()                       {}
+func (idleAgent) ApplyPendingConfig()                   {}
--- a/internal/lifecycle/agreement.go
+++ b/internal/lifecycle/agreement.go
@@ -35,14 +35,14 @@
 		return
 	}
 	options := agreement.Options{Name: conf.Name, Hall: nameAt(conf.Site.Zones, conf.Site.Decide.Zone), Halls: conf.Site.Zones,
-		Classes: conf.Site.Classes, Tenants: conf.Site.Tenants, Votes: settings.Agree.VoterCount,
-		Replace: time.Duration(settings.Agree.ReplaceAfterS * float64(time.Second)), Lost: time.Duration(settings.Site.LostAfterS * float64(time.Second)),
+		Classes: conf.Site.Classes, Tenants: conf.Site.Tenants, TargetVoters: settings.Agree.VoterCount,
+		ReplaceAfter: time.Duration(settings.Agree.ReplaceAfterS * float64(time.Second)), HallLostAfter: time.Duration(settings.Site.LostAfterS * float64(time.Second)),
 		Limits:  settings.Change,
 		Rules:   replog.Rules{ClockBoundMs: settings.Freeze.ClockBoundMs, FreezeAheadMs: int64(settings.Freeze.AheadS * 1000)},
 		ColdFor: conf.Site.Decide.ColdFor, Session: settings.Site.Session, Version: Version, Config: conf.Revision,
-		Own: configuredRestrictions(settings)}
+		OwnRestrictions: configuredRestrictions(settings)}
 	if settings.Agree.Enabled {
-		options.First = settings.Agree.Voters
+		options.InitialVoters = settings.Agree.Voters
 	}
 	g.node.Add(func(h *fleet.Host) fleet.Part {
 		g.agreement = agreement.New(h, (*agreementGateway)(g), options)
@@ -109,7 +109,7 @@
 	}
 }
 
-func (a *agreementGateway) CallBack(id string) {
+func (a *agreementGateway) Unban(id string) {
 	if a.core != nil && a.core.Enable(id) == nil {
 		a.recovery.BroadcastBan(id, false, 0)
 	}
@@ -137,8 +137,8 @@
 	return there, elsewhere
 }
 
-// Thawed applies or drops the configuration that was deferred by a freeze, if no freeze forbids it any more.
-func (a *agreementGateway) Thawed() {
+// RecheckFreezes applies or drops the configuration that was deferred by a freeze, if no freeze forbids it any more.
+func (a *agreementGateway) RecheckFreezes() {
 	g := (*Gateway)(a)
 	if g.pendingConfig == nil || g.agreement.Frozen(freeze.Config) != "" {
 		return
@@ -151,8 +151,8 @@
 	g.applyConfig(conf)
 }
 
-// Take applies the configuration that was deferred by a freeze, since two operators have agreed to an exception.
-func (a *agreementGateway) Take() {
+// ApplyPendingConfig applies the configuration that was deferred by a freeze, since two operators have agreed to an exception.
+func (a *agreementGateway) ApplyPendingConfig() {
 	if g := (*Gateway)(a); g.pendingConfig != nil && g.feed != nil {
 		g.applyConfig(g.pendingConfig)
 	}
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -84,7 +84,7 @@
 			inner(whole, members)
 			g.recovery.ListChanged(whole, members)
 			if g.agreement != nil {
-				g.agreement.Told(whole, members)
+				g.agreement.UpdateWorkers(whole, members)
 			}
 		}
 	}
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -37,7 +37,7 @@
 		if !g.requiresPermits() || call.Emergency {
 			err := a.Disable(call.ID)
 			if err == nil && call.Emergency {
-				g.agreement.Urgent(change.Of(change.Worker, call.ID), "", requester(call), call.Options["why"])
+				g.agreement.ReportEmergency(change.Of(change.Worker, call.ID), "", requester(call), call.Options["why"])
 			}
 			done("", err)
 			return
@@ -49,7 +49,7 @@
 		if !g.requiresPermits() || call.Emergency {
 			err := a.Drain()
 			if call.Emergency {
-				g.agreement.Urgent(g.self(), g.conf.Name, requester(call), call.Options["why"])
+				g.agreement.ReportEmergency(g.self(), g.conf.Name, requester(call), call.Options["why"])
 			}
 			done("", err)
 			return
@@ -58,7 +58,7 @@
 	case "resume":
 		err := a.Resume()
 		if err == nil && g.requiresPermits() {
-			g.agreement.Back()
+			g.agreement.CancelDrain()
 		}
 		done("", err)
 	default:
@@ -85,7 +85,7 @@
 		done("", err)
 		return
 	}
-	g.agreement.Ask(subject, holder, requester(call), call.Options["why"], except, false, done)
+	g.agreement.RequestPermit(subject, holder, requester(call), call.Options["why"], except, false, done)
 }
 
 // exceptionID returns the number of the freeze exception that a call names in its option except, 0 if it names none.
@@ -104,7 +104,7 @@
 	g := (*Gateway)(a)
 	if g.requiresPermits() {
 		if p := g.agreement.PermitOf(change.Of(change.Worker, call.ID)); p != nil {
-			g.agreement.Return(p, requester(call), done)
+			g.agreement.ReturnPermit(p, requester(call), done)
 			return
 		}
 	}
@@ -135,7 +135,7 @@
 	}
 	if gateway == "workers" {
 		text := ""
-		for _, id := range g.agreement.Restarts() {
+		for _, id := range g.agreement.WorkersToRestart() {
 			text += "worker " + id + "\n"
 		}
 		return text
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -36,7 +36,7 @@
 		return
 	}
 	if g.agreement != nil {
-		g.agreement.Ending()
+		g.agreement.ProcessEnding()
 	}
 	if g.node != nil {
 		g.node.Drain()
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -146,7 +146,7 @@
 			u.offeredRoster = u.gateway.core.Saved()
 			s := handover.State{Roster: u.offeredRoster, Module: u.gateway.core.Remember()}
 			if u.gateway.agreement != nil {
-				s.Agreed = u.gateway.agreement.Handed()
+				s.Agreed = u.gateway.agreement.EncodedState()
 			}
 			offered <- offer{state: s}
 		}
@@ -201,7 +201,7 @@
 			u.successor, u.successorReady = nil, false
 			u.gateway.log.Warn("the new process has gone")
 			if u.gateway.agreement != nil {
-				u.gateway.agreement.Failed("the new process has gone")
+				u.gateway.agreement.StepFailed("the new process has gone")
 			}
 			u.listen() // the successor may have replaced the socket with its own
 		default:
