--- a/internal/fleet/agreement/declare.go
+++ b/internal/fleet/agreement/declare.go
@@ -17,11 +17,11 @@
 // propose.
 var declarations = map[string]func(a *Agent, args *arguments) (kind string, body any, err error){
 	"release": func(a *Agent, args *arguments) (string, any, error) {
-		r := &change.Release{Name: args.text("name"), Why: args.text("why"), ProveMs: int64(1000 * args.number("prove_s", 0)),
-			MostMs: int64(1000 * args.number("most_s", 0)), StepMs: int64(1000 * args.number("step_s", 0)),
-			Alpha: args.number("alpha", 0), Worse: args.number("worse", 0), Slower: args.number("slower", 0),
-			TakeBack: args.choice("on_halt", "stand", "back") == "back",
-			Freeze:   args.choice("on_freeze", change.FreezeHalts, change.FreezeBack, change.FreezeRefuses)}
+		r := &change.Release{Name: args.text("name"), Why: args.text("why"), VerifyMs: int64(1000 * args.number("prove_s", 0)),
+			MaxVerifyMs: int64(1000 * args.number("most_s", 0)), StepTimeoutMs: int64(1000 * args.number("step_s", 0)),
+			Alpha: args.number("alpha", 0), MaxFailureRatio: args.number("worse", 0), MaxSlowRatio: args.number("slower", 0),
+			AutoRollback: args.choice("on_halt", "stand", "back") == "back",
+			OnFreeze:     args.choice("on_freeze", change.FreezeHalts, change.FreezeRollsBack, change.FreezeRefuses)}
 		for _, what := range []string{change.Version, change.Config, change.Workers} {
 			if v := args.text(what); v != "" && r.What != "" {
 				return "", nil, fmt.Errorf("a release is of one thing: %s and %s", r.What, what)
@@ -98,7 +98,7 @@
 		}
 		l = change.Limits{Gateways: args.limit("gateways", l.Gateways), GatewaysHall: args.limit("gateways_hall", l.GatewaysHall),
 			Workers: args.limit("workers", l.Workers), WorkersHall: args.limit("workers_hall", l.WorkersHall),
-			Only: args.limit("only_copies", l.Only), Margin: args.number("margin", l.Margin),
+			OnlyCopies: args.limit("only_copies", l.OnlyCopies), Margin: args.number("margin", l.Margin),
 			GatewayCalls: args.number("gateway_calls", l.GatewayCalls), WorkerCalls: args.number("worker_calls", l.WorkerCalls)}
 		return "limits", replog.LimitsBody{Limits: l}, l.Check()
 	},
@@ -114,7 +114,7 @@
 		return "word", change.PermitBody{ID: uint64(args.number("permit", 0))}, nil
 	},
 	"gone": func(a *Agent, args *arguments) (string, any, error) {
-		return "forget", replog.NameBody{Name: string(change.Of(change.Gateway, args.text("gateway")))}, nil
+		return "forget", replog.NameBody{Name: string(change.NewSubject(change.Gateway, args.text("gateway")))}, nil
 	},
 }
 
@@ -123,7 +123,7 @@
 	name := args.text("name")
 	if state := a.State(); state != nil {
 		if release := state.Change.Release(name); release != nil {
-			return kind, change.HaltBody{ID: release.ID, Reason: strings.TrimSpace(reason)}, nil
+			return kind, change.ReleaseBody{ID: release.ID, Reason: strings.TrimSpace(reason)}, nil
 		}
 	}
 	return "", nil, fmt.Errorf("no release %q is known", name)
@@ -189,9 +189,9 @@
 
 // RequestPermit requests a permit for a subject on behalf of an operator. The text for the operator says that the permit
 // is in use, or why it waits.
-func (a *Agent) RequestPermit(subject change.Thing, holder, by, why string, except uint64, emergency bool,
+func (a *Agent) RequestPermit(subject change.Subject, holder, by, why string, except uint64, emergency bool,
 	done func(text string, err error)) {
-	permit := &change.Permit{Things: []change.Thing{subject}, Holder: holder, Why: why, Emergency: emergency}
+	permit := &change.Permit{Subjects: []change.Subject{subject}, Holder: holder, Why: why, Emergency: emergency}
 	startedAt := a.host.Now()
 	a.ProposeForOperator("ask", by, except, permit, func(index uint64, err error) {
 		if err != nil {
@@ -208,7 +208,7 @@
 	switch {
 	case permit == nil:
 		done("", fmt.Errorf("permit %d has ended already", id))
-	case permit.Phase >= change.Used:
+	case permit.Phase >= change.InUse:
 		done(fmt.Sprintf("permit %d is in use\n", id), nil)
 	case a.host.Now()-startedAt > operatorTimeout:
 		done(fmt.Sprintf("permit %d waits: %s\n", id, a.WaitReason(permit)), nil)
--- a/internal/fleet/agreement/fail_test.go
+++ b/internal/fleet/agreement/fail_test.go
@@ -32,7 +32,7 @@
 	now := time.Hour
 	loop := core.NewLoop(func() time.Duration { return now })
 	var a *Agent
-	node := fleet.New(loop, &fleet.Settings{Enabled: true, Fleet: "test", Change: change.Defaults}, "g1", 0, zap.NewNop())
+	node := fleet.New(loop, &fleet.Settings{Enabled: true, Fleet: "test", Change: change.DefaultLimits}, "g1", 0, zap.NewNop())
 	node.Add(func(h *fleet.Host) fleet.Part {
 		a = New(h, nil, Options{Name: "g1"})
 		return a
--- a/internal/fleet/agreement/holder.go
+++ b/internal/fleet/agreement/holder.go
@@ -46,8 +46,8 @@
 	}
 	wanted := map[string]bool{}
 	for _, permit := range state.Change.Permits {
-		for _, subject := range permit.Things {
-			if subject.Kind() == change.Worker && permit.Phase == change.Used {
+		for _, subject := range permit.Subjects {
+			if subject.Kind() == change.Worker && permit.Phase == change.InUse {
 				wanted[subject.Name()] = true
 			}
 		}
@@ -87,16 +87,16 @@
 	if state == nil {
 		return
 	}
-	self := change.Of(change.Gateway, a.options.Name)
+	self := change.NewSubject(change.Gateway, a.options.Name)
 	for _, permit := range state.Change.Permits {
 		if permit.Holder != a.options.Name {
 			continue
 		}
-		mine := slices.Contains(permit.Things, self)
+		mine := slices.Contains(permit.Subjects, self)
 		switch {
 		case permit.Phase == change.Granted && held.markProposed(permit.ID, 1):
 			id := permit.ID
-			a.Propose("use", "", 0, change.PermitBody{ID: id, Holder: a.options.Name, Life: a.host.Incarnation().Number}, func(_ uint64, err error) {
+			a.Propose("use", "", 0, change.PermitBody{ID: id, Holder: a.options.Name, Incarnation: a.host.Incarnation().Number}, func(_ uint64, err error) {
 				if err != nil {
 					delete(held.proposedSteps, id<<3|1) // the permit may be granted again
 					a.log.Warn("a permit is not used", zap.Uint64("permit", id), zap.Error(err))
@@ -104,7 +104,7 @@
 					a.startDrain(id)
 				}
 			})
-		case permit.Phase == change.Used && mine && permit.Release == 0 && permit.Life < a.host.Incarnation().Number &&
+		case permit.Phase == change.InUse && mine && permit.Release == 0 && permit.Incarnation < a.host.Incarnation().Number &&
 			a.gateway.Serving() && held.markProposed(permit.ID, 2):
 			a.returnOwnPermit(permit.ID) // a previous process used this permit, and this process serves clients again
 		}
@@ -115,7 +115,7 @@
 // meantime, the entry that was to make it lapse comes after the one that put it into use, so the permit is returned
 // instead.
 func (a *Agent) startDrain(id uint64) {
-	if permit := a.State().Change.Permit(id); permit == nil || permit.Phase != change.Used || permit.Life != a.host.Incarnation().Number {
+	if permit := a.State().Change.Permit(id); permit == nil || permit.Phase != change.InUse || permit.Incarnation != a.host.Incarnation().Number {
 		return
 	}
 	if id == a.permits.withdrawnPermit {
@@ -128,13 +128,13 @@
 
 // returnOwnPermit proposes to return a permit that this process holds.
 func (a *Agent) returnOwnPermit(id uint64) {
-	a.Propose("return", "", 0, change.PermitBody{ID: id, Holder: a.options.Name, Life: a.host.Incarnation().Number}, nil)
+	a.Propose("return", "", 0, change.PermitBody{ID: id, Holder: a.options.Name, Incarnation: a.host.Incarnation().Number}, nil)
 }
 
 // OwnPermit returns the permit that names this gateway, nil if there is none.
 func (a *Agent) OwnPermit() *change.Permit {
 	if state := a.State(); state != nil {
-		return state.Change.PermitOf(change.Of(change.Gateway, a.options.Name))
+		return state.Change.PermitOf(change.NewSubject(change.Gateway, a.options.Name))
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 	case permit.Phase <= change.Granted: // the permit is not in use yet and no longer wanted
 		a.permits.withdrawnPermit = permit.ID
 		a.Propose("lapse", "", 0, change.PermitBody{ID: permit.ID, Why: "its drain was taken back"}, nil)
-	case permit.Phase == change.Used:
+	case permit.Phase == change.InUse:
 		a.permits.drainPermit = 0
 		a.returnOwnPermit(permit.ID)
 	}
@@ -158,18 +158,18 @@
 // release.
 func (a *Agent) StepFailed(why string) {
 	permit := a.OwnPermit()
-	if permit == nil || permit.Release == 0 || permit.Phase != change.Used {
+	if permit == nil || permit.Release == 0 || permit.Phase != change.InUse {
 		return
 	}
-	a.Propose("halt", "", 0, change.HaltBody{ID: permit.Release, Reason: a.options.Name + ": " + why}, nil)
+	a.Propose("halt", "", 0, change.ReleaseBody{ID: permit.Release, Reason: a.options.Name + ": " + why}, nil)
 	a.returnOwnPermit(permit.ID)
 }
 
 // ProcessEnding is called when this process has been asked to end. If it has no permit for that, it records an emergency
 // permit, so that the limits take its absence into account.
 func (a *Agent) ProcessEnding() {
-	if state := a.State(); state != nil && a.OwnPermit() == nil && state.Change.Things[change.Of(change.Gateway, a.options.Name)] != nil {
-		a.Propose("ask", "", 0, &change.Permit{Things: []change.Thing{change.Of(change.Gateway, a.options.Name)},
+	if state := a.State(); state != nil && a.OwnPermit() == nil && state.Change.Subjects[change.NewSubject(change.Gateway, a.options.Name)] != nil {
+		a.Propose("ask", "", 0, &change.Permit{Subjects: []change.Subject{change.NewSubject(change.Gateway, a.options.Name)},
 			Holder: a.options.Name, Emergency: true, By: "SIGTERM", Why: "it was asked to end"}, nil)
 	}
 }
@@ -178,13 +178,13 @@
 // it; what is "" if there is none.
 func (a *Agent) Wanted(gateway string) (what, to string, permit uint64) {
 	if state := a.State(); state != nil {
-		return state.Change.Wanted(gateway)
+		return state.Change.PendingChange(gateway)
 	}
 	return "", "", 0
 }
 
 // PermitOf returns the permit that names a subject, nil if there is none.
-func (a *Agent) PermitOf(subject change.Thing) *change.Permit {
+func (a *Agent) PermitOf(subject change.Subject) *change.Permit {
 	if state := a.State(); state != nil {
 		return state.Change.PermitOf(subject)
 	}
@@ -200,7 +200,7 @@
 // withdrawPermit proposes the entry that ends a permit in its present phase. If the permit changes its phase before that
 // entry is applied, the entry has no effect, and the entry that fits the new phase is proposed.
 func (a *Agent) withdrawPermit(id uint64, by string, done func(uint64, error)) {
-	withdrawal, err := a.State().Change.TakeBack(id, a.host.Incarnation().Number, "taken back by "+by)
+	withdrawal, err := a.State().Change.CancelOrReturn(id, a.host.Incarnation().Number, "taken back by "+by)
 	if err != nil {
 		done(0, err)
 		return
@@ -216,16 +216,16 @@
 
 // withdrawalChanged reports whether ending a permit now takes another entry than the one that was proposed.
 func (a *Agent) withdrawalChanged(id uint64, proposed change.Proposal) bool {
-	now, err := a.State().Change.TakeBack(id, 0, "")
+	now, err := a.State().Change.CancelOrReturn(id, 0, "")
 	return err == nil && now.Kind != proposed.Kind
 }
 
 // ReportEmergency records that an operator has taken a subject out of service without a permit. The emergency permit
 // makes the limits take its absence into account.
-func (a *Agent) ReportEmergency(subject change.Thing, holder, by, why string) {
+func (a *Agent) ReportEmergency(subject change.Subject, holder, by, why string) {
 	a.log.Warn("taken out by an emergency word", zap.String("kind", subject.Kind()), zap.String("name", subject.Name()),
 		zap.String("by", by), zap.String("why", why))
-	a.Propose("ask", by, 0, &change.Permit{Things: []change.Thing{subject}, Holder: holder, Why: why, Emergency: true}, nil)
+	a.Propose("ask", by, 0, &change.Permit{Subjects: []change.Subject{subject}, Holder: holder, Why: why, Emergency: true}, nil)
 }
 
 // WorkersToRestart returns the workers that a release wants to be restarted now.
@@ -235,8 +235,8 @@
 		return nil
 	}
 	for _, permit := range state.Change.Permits {
-		if permit.Phase == change.Used && permit.Release != 0 {
-			for _, subject := range permit.Things {
+		if permit.Phase == change.InUse && permit.Release != 0 {
+			for _, subject := range permit.Subjects {
 				if subject.Kind() == change.Worker {
 					ids = append(ids, subject.Name())
 				}
--- a/internal/fleet/agreement/lead.go
+++ b/internal/fleet/agreement/lead.go
@@ -95,9 +95,9 @@
 func (a *Agent) changeView(now time.Duration) *change.View {
 	lead, state := &a.lead, a.State()
 	view := &change.View{Context: change.Context{Index: state.Index, At: max(now.Milliseconds(), state.At)}, Self: a.options.Name,
-		Things: map[change.Thing]change.Observation{}, Samples: map[string]change.Sample{},
-		Classes: len(a.options.Classes), Lonely: lead.noMajorityFor.Milliseconds()}
-	view.Only = map[change.Thing]int{}
+		Subjects: map[change.Subject]change.Observation{}, Samples: map[string]change.Sample{},
+		Classes: len(a.options.Classes), NoMajorityMs: lead.noMajorityFor.Milliseconds()}
+	view.OnlyCopies = map[change.Subject]int{}
 	there, elsewhere := map[string]map[string]bool{}, map[string]map[string]bool{}
 	for name, report := range lead.reports {
 		if now-report.receivedAt > reportMaxAge {
@@ -107,13 +107,13 @@
 		health := change.Cold
 		switch {
 		case !report.Serving:
-			health = change.Out
+			health = change.Unavailable
 		case report.Warm:
-			health = change.Well
+			health = change.Healthy
 		}
-		view.Things[change.Of(change.Gateway, name)] = change.Observation{Hall: report.Hall, Health: health, Life: report.Incarnation,
+		view.Subjects[change.NewSubject(change.Gateway, name)] = change.Observation{Hall: report.Hall, Health: health, Incarnation: report.Incarnation,
 			Version: report.Version, Config: report.Config, Witnesses: lead.witnesses(state, name, report.Incarnation, now)}
-		view.Samples[name] = change.Sample{Hall: report.Hall, Counts: change.Counts{Life: report.Incarnation, Classes: report.Classes}}
+		view.Samples[name] = change.Sample{Hall: report.Hall, Counts: change.Counts{Incarnation: report.Incarnation, Classes: report.Classes}}
 		for _, copies := range report.Copies {
 			note := func(all map[string]map[string]bool, functions []string) {
 				if all[copies.Worker] == nil {
@@ -130,19 +130,19 @@
 	for worker, all := range there {
 		for function := range all {
 			if !elsewhere[worker][function] {
-				view.Only[change.Of(change.Worker, worker)]++
+				view.OnlyCopies[change.NewSubject(change.Worker, worker)]++
 			}
 		}
 	}
 	lead.combineWorkerReports(state, view, now)
 	clock := a.clock()
 	if period := state.Freeze.Forbids("releases", nil, clock); period != nil {
-		view.Frozen = period.Name
+		view.FreezePeriod = period.Name
 	}
 	for _, period := range state.Freeze.Periods {
 		if next, ok := period.NextStart(clock.At); ok && period.Covers("releases", nil) {
-			if in := next.Sub(clock.At).Milliseconds() - state.Rules.ClockBoundMs; view.FreezeIn == 0 || in < view.FreezeIn {
-				view.FreezeIn = max(1, in)
+			if in := next.Sub(clock.At).Milliseconds() - state.Rules.ClockBoundMs; view.FreezeInMs == 0 || in < view.FreezeInMs {
+				view.FreezeInMs = max(1, in)
 			}
 		}
 	}
@@ -152,9 +152,9 @@
 // witnesses returns the gateways that see another gateway serve in a given incarnation. A gateway that does not mention
 // it sees it as agreed.
 func (l *leaderState) witnesses(state *replog.State, name string, incarnation uint64, now time.Duration) (out []string) {
-	subject := change.Of(change.Gateway, name)
-	known := state.Change.Things[subject]
-	agreed := known != nil && known.Health == change.Well && known.Life == incarnation && state.Change.PermitOf(subject) == nil
+	subject := change.NewSubject(change.Gateway, name)
+	known := state.Change.Subjects[subject]
+	agreed := known != nil && known.Health == change.Healthy && known.Incarnation == incarnation && state.Change.PermitOf(subject) == nil
 	for other, report := range l.reports {
 		if other == name || now-report.receivedAt > reportMaxAge {
 			continue
@@ -199,7 +199,7 @@
 			switch {
 			case worker.ByList:
 				t.byList = true
-			case worker.Health == change.Out:
+			case worker.Health == change.Unavailable:
 				t.out++
 			case worker.Health == change.Cold:
 				t.cold++
@@ -208,25 +208,25 @@
 			}
 		}
 	}
-	for subject, known := range state.Change.Things {
+	for subject, known := range state.Change.Subjects {
 		if subject.Kind() != change.Worker {
 			continue
 		}
 		if _, named := seen[subject.Name()]; !named && reports > 0 {
-			view.Things[subject] = change.Observation{Hall: known.Hall, Health: known.Health, Life: known.Life}
-			if known.Health == change.Well {
-				observation := view.Things[subject]
+			view.Subjects[subject] = change.Observation{Hall: known.Hall, Health: known.Health, Incarnation: known.Incarnation}
+			if known.Health == change.Healthy {
+				observation := view.Subjects[subject]
 				observation.Witnesses = sortedKeys(l.reports)
-				view.Things[subject] = observation
+				view.Subjects[subject] = observation
 			}
 		}
 	}
 	for id, t := range seen {
-		known := state.Change.Things[change.Of(change.Worker, id)]
-		observation := change.Observation{Hall: t.last.Hall, Life: t.last.Start, Health: change.Well, Witnesses: t.well}
+		known := state.Change.Subjects[change.NewSubject(change.Worker, id)]
+		observation := change.Observation{Hall: t.last.Hall, Incarnation: t.last.Start, Health: change.Healthy, Witnesses: t.well}
 		silent := reports - t.all // gateways that see the worker as agreed do not report it
-		if known != nil && known.Health == change.Well && state.Change.PermitOf(change.Of(change.Worker, id)) == nil &&
-			known.Life == t.last.Start {
+		if known != nil && known.Health == change.Healthy && state.Change.PermitOf(change.NewSubject(change.Worker, id)) == nil &&
+			known.Incarnation == t.last.Start {
 			for _, name := range sortedKeys(l.reports) {
 				if report := l.reports[name]; now-report.receivedAt <= reportMaxAge &&
 					!slices.ContainsFunc(report.Workers, func(worker WorkerObservation) bool { return worker.ID == id }) {
@@ -236,10 +236,10 @@
 		}
 		switch {
 		case t.byList, 2*t.out >= max(1, t.all+silent):
-			observation.Health = change.Out
+			observation.Health = change.Unavailable
 		case t.cold > 0 && len(observation.Witnesses) < 2:
 			observation.Health = change.Cold
 		}
-		view.Things[change.Of(change.Worker, id)] = observation
+		view.Subjects[change.NewSubject(change.Worker, id)] = observation
 	}
 }
--- a/internal/fleet/agreement/observations.go
+++ b/internal/fleet/agreement/observations.go
@@ -47,7 +47,7 @@
 		s.callCounts[i]++
 	}
 	if record.Answer == "served" {
-		tally.Took[change.Bucket(float64(record.End-record.Start)/float64(time.Millisecond))]++
+		tally.Latency[change.Bucket(float64(record.End-record.Start)/float64(time.Millisecond))]++
 		s.answeredAt[record.Host] = record.End
 	}
 }
--- a/internal/fleet/agreement/rebuild.go
+++ b/internal/fleet/agreement/rebuild.go
@@ -42,7 +42,7 @@
 	}
 	state.Era++
 	if release := state.Change.Current(); release != nil {
-		state.Change.Pause(change.Context{Index: state.Index, At: state.At}, release.ID, "the agreement was begun anew")
+		state.Change.Halt(change.Context{Index: state.Index, At: state.At}, release.ID, "the agreement was begun anew")
 	}
 	a.forfeitVote()
 	a.log.Warn("rebuilding the log without its majority", zap.String("by", by), zap.String("and", and), zap.Uint64("era", state.Era))
--- a/internal/fleet/agreement/report.go
+++ b/internal/fleet/agreement/report.go
@@ -117,30 +117,30 @@
 	}
 	report.Index = state.Index
 	for _, peer := range a.host.View().Peers() {
-		subject := change.Of(change.Gateway, peer.Metadata.Name)
-		known, serving := state.Change.Things[subject], peer.State == member.Serving
-		if known == nil || known.Health != change.Well || !serving || known.Life != peer.Metadata.Incarnation.Number ||
+		subject := change.NewSubject(change.Gateway, peer.Metadata.Name)
+		known, serving := state.Change.Subjects[subject], peer.State == member.Serving
+		if known == nil || known.Health != change.Healthy || !serving || known.Incarnation != peer.Metadata.Incarnation.Number ||
 			state.Change.PermitOf(subject) != nil {
 			report.Gateways = append(report.Gateways, GatewayObservation{peer.Metadata.Name, peer.Metadata.Incarnation.Number, serving})
 		}
 	}
 	answered, unanswered := map[string]bool{}, map[string]bool{}
 	for name, listing := range a.observed.members {
-		subject := change.Of(change.Worker, name)
+		subject := change.NewSubject(change.Worker, name)
 		worker := a.observeWorker(name, listing, now)
 		if at, ok := a.observed.answeredAt[name]; ok && now-at < a.options.HallLostAfter {
 			answered[worker.Hall] = true
 		} else if isReady(listing) && a.gateway.Avoids(name) {
 			unanswered[worker.Hall] = true
 		}
-		if known := state.Change.Things[subject]; known == nil || known.Health != worker.Health ||
-			known.Life != worker.Start || state.Change.PermitOf(subject) != nil {
+		if known := state.Change.Subjects[subject]; known == nil || known.Health != worker.Health ||
+			known.Incarnation != worker.Start || state.Change.PermitOf(subject) != nil {
 			report.Workers = append(report.Workers, worker)
 		}
 	}
-	for subject, known := range state.Change.Things {
-		if _, listed := a.observed.members[subject.Name()]; subject.Kind() == change.Worker && !listed && known.Health != change.Out {
-			report.Workers = append(report.Workers, WorkerObservation{ID: subject.Name(), Hall: known.Hall, Start: known.Life, ByList: true})
+	for subject, known := range state.Change.Subjects {
+		if _, listed := a.observed.members[subject.Name()]; subject.Kind() == change.Worker && !listed && known.Health != change.Unavailable {
+			report.Workers = append(report.Workers, WorkerObservation{ID: subject.Name(), Hall: known.Hall, Start: known.Incarnation, ByList: true})
 		}
 	}
 	for _, hall := range a.options.Halls {
@@ -151,8 +151,8 @@
 		}
 	}
 	for _, permit := range state.Change.Permits {
-		for _, subject := range permit.Things {
-			if permit.Phase == change.Asked && subject.Kind() == change.Worker && len(report.Copies) < 4 {
+		for _, subject := range permit.Subjects {
+			if permit.Phase == change.Requested && subject.Kind() == change.Worker && len(report.Copies) < 4 {
 				copies := WorkerCopies{Worker: subject.Name()}
 				copies.There, copies.Elsewhere = a.gateway.Copies(subject.Name())
 				report.Copies = append(report.Copies, copies)
@@ -166,13 +166,13 @@
 // after its start and, after a restart, until it has answered, otherwise well.
 func (a *Agent) observeWorker(name string, listing core.Member, now time.Duration) WorkerObservation {
 	observed := WorkerObservation{ID: name, Hall: a.hallName(listing.Zone),
-		Start: uint64(max(0, listing.Since.Milliseconds())), Health: change.Well}
+		Start: uint64(max(0, listing.Since.Milliseconds())), Health: change.Healthy}
 	at, answered := a.observed.answeredAt[name]
 	switch {
 	case listing.State != decide.Ready || a.permits.banned[name]:
-		observed.Health, observed.ByList = change.Out, true
+		observed.Health, observed.ByList = change.Unavailable, true
 	case a.gateway.Avoids(name):
-		observed.Health = change.Out
+		observed.Health = change.Unavailable
 	case listing.Since > 0 && now-listing.Since < a.options.ColdFor:
 		observed.Health = change.Cold
 	case listing.Since > 0 && (!answered || at < listing.Since):
--- a/internal/fleet/agreement/saved.go
+++ b/internal/fleet/agreement/saved.go
@@ -85,8 +85,8 @@
 	}
 	show("agreed.entry", int(state.Index))
 	show("agreed.voters", len(state.Voting()))
-	show("agreed.out", len(state.Change.Outs()))
-	show("agreed.things", len(state.Change.Things))
+	show("agreed.out", len(state.Change.CountedUnavailable()))
+	show("agreed.things", len(state.Change.Subjects))
 	show("agreed.permits", len(state.Change.Permits))
 	show("agreed.frozen", len(state.Freeze.InForce(a.clock())))
 	show("agreed.restrictions", len(state.Site.Rules))
--- a/internal/fleet/agreement/show.go
+++ b/internal/fleet/agreement/show.go
@@ -44,16 +44,16 @@
 	printLine("held by %s; %s leads", strings.Join(voters, ", "), orNobody(a.leaderName()))
 	limits := state.Change.Limits
 	printLine("limits gateways=%v gateways_hall=%v workers=%v workers_hall=%v only_copies=%v margin=%v gateway_calls=%v worker_calls=%v",
-		limits.Gateways, limits.GatewaysHall, limits.Workers, limits.WorkersHall, limits.Only, limits.Margin,
+		limits.Gateways, limits.GatewaysHall, limits.Workers, limits.WorkersHall, limits.OnlyCopies, limits.Margin,
 		limits.GatewayCalls, limits.WorkerCalls)
-	for i, subject := range state.Change.Outs() {
+	for i, subject := range state.Change.CountedUnavailable() {
 		if i == maxShown {
 			printLine("and more")
 			break
 		}
-		known, permit := state.Change.Things[subject], state.Change.PermitOf(subject)
+		known, permit := state.Change.Subjects[subject], state.Change.PermitOf(subject)
 		switch {
-		case permit != nil && permit.Phase > change.Asked:
+		case permit != nil && permit.Phase > change.Requested:
 			printLine("out: %s %s (%s), permit %d of %s, %s: %s", subject.Kind(), subject.Name(), known.Hall,
 				permit.ID, orFleet(permit.By), permit.Phase, permit.Why)
 		default:
@@ -61,12 +61,12 @@
 		}
 	}
 	for _, permit := range state.Change.Permits {
-		if permit.Phase == change.Asked {
-			printLine("waits: permit %d of %s for %s: %s", permit.ID, orFleet(permit.By), subjectNames(permit.Things), a.WaitReason(permit))
+		if permit.Phase == change.Requested {
+			printLine("waits: permit %d of %s for %s: %s", permit.ID, orFleet(permit.By), subjectNames(permit.Subjects), a.WaitReason(permit))
 		}
 	}
 	for _, ended := range state.Change.Ended[max(0, len(state.Change.Ended)-shownEnded):] {
-		printLine("ended: permit %d of %s for %s: %s", ended.ID, orFleet(ended.By), subjectNames(ended.Things), ended.How)
+		printLine("ended: permit %d of %s for %s: %s", ended.ID, orFleet(ended.By), subjectNames(ended.Subjects), ended.How)
 	}
 	for _, release := range state.Change.Releases {
 		a.showRelease(state, release, printLine)
@@ -113,7 +113,7 @@
 	return strings.Join(names, " ")
 }
 
-func subjectNames(subjects []change.Thing) string {
+func subjectNames(subjects []change.Subject) string {
 	var out []string
 	for _, t := range subjects {
 		out = append(out, t.Kind()+" "+t.Name())
@@ -124,15 +124,15 @@
 
 // WaitReason returns why a permit waits, as far as this gateway can tell: only the leader knows the measurements.
 func (a *Agent) WaitReason(p *change.Permit) string {
-	if err := a.State().Change.Turn(p, change.Measure{}); err != nil {
+	if err := a.State().Change.CheckGrant(p, change.Measurements{}); err != nil {
 		return err.Error()
 	}
 	return "it is its turn, or what stays does not bear the load"
 }
 
 func (a *Agent) showRelease(state *replog.State, release *change.Release, printLine func(string, ...any)) {
-	line := fmt.Sprintf("release %s of %s: %s to %q, %s", release.Name, release.By, release.What, release.To, release.Course)
-	if release.Course < change.Done {
+	line := fmt.Sprintf("release %s of %s: %s to %q, %s", release.Name, release.By, release.What, release.To, release.Status)
+	if release.Status < change.Done {
 		way := " forwards"
 		if release.Backward {
 			way = " backwards"
@@ -140,19 +140,19 @@
 		line += way
 		line += fmt.Sprintf(", batch %d of %d", release.Batch+1, len(release.Batches))
 	}
-	if release.Stood > 0 {
-		line += fmt.Sprintf(", proving itself for %.0f s", float64(state.At-release.Stood)/1000)
+	if release.ReachedAt > 0 {
+		line += fmt.Sprintf(", proving itself for %.0f s", float64(state.At-release.ReachedAt)/1000)
 	}
 	if release.Reason != "" {
 		line += ": " + release.Reason
 	}
 	printLine("%s", line)
-	if release.What == change.Workers || release.Course >= change.Done {
+	if release.What == change.Workers || release.Status >= change.Done {
 		return
 	}
 	at := map[string][]string{}
 	for t := range release.From {
-		if known := state.Change.Things[t]; known != nil {
+		if known := state.Change.Subjects[t]; known != nil {
 			value := known.Version
 			if release.What == change.Config {
 				value = known.Config
--- a/internal/fleet/agreement/sites.go
+++ b/internal/fleet/agreement/sites.go
@@ -120,11 +120,11 @@
 		}
 	}
 	inService, restarted := map[string]int{}, map[string]bool{}
-	for subject, known := range state.Change.Things {
-		if subject.Kind() == change.Worker && known.Health != change.Out {
+	for subject, known := range state.Change.Subjects {
+		if subject.Kind() == change.Worker && known.Health != change.Unavailable {
 			inService[known.Hall]++
-			restarted[known.Hall] = restarted[known.Hall] || known.Life > 0 &&
-				time.Duration(known.Life)*time.Millisecond > lead.lostAt[known.Hall]
+			restarted[known.Hall] = restarted[known.Hall] || known.Incarnation > 0 &&
+				time.Duration(known.Incarnation)*time.Millisecond > lead.lostAt[known.Hall]
 		}
 	}
 	for _, hall := range a.options.Halls {
@@ -166,7 +166,7 @@
 	if !safeguard.Enabled("all have heard") {
 		return true
 	}
-	for subject := range state.Change.Things {
+	for subject := range state.Change.Subjects {
 		if subject.Kind() != change.Gateway {
 			continue
 		}
@@ -174,7 +174,7 @@
 			report.Index >= index {
 			continue
 		}
-		if permit := state.Change.PermitOf(subject); permit != nil && permit.Phase >= change.Used {
+		if permit := state.Change.PermitOf(subject); permit != nil && permit.Phase >= change.InUse {
 			continue
 		}
 		return false
@@ -185,8 +185,8 @@
 // Capacity returns the number of healthy workers at a restriction's sites, and the calls/s that the restriction applies
 // to, as measured now.
 func (a *Agent) Capacity(r *site.Restriction, state *replog.State) (workers int, load float64) {
-	for subject, known := range state.Change.Things {
-		if subject.Kind() == change.Worker && known.Health == change.Well && slices.Contains(r.Sites, known.Hall) {
+	for subject, known := range state.Change.Subjects {
+		if subject.Kind() == change.Worker && known.Health == change.Healthy && slices.Contains(r.Sites, known.Hall) {
 			workers++
 		}
 	}
--- a/internal/fleet/change/apply.go
+++ b/internal/fleet/change/apply.go
@@ -7,60 +7,62 @@
 	"quillrail/internal/fleet/safeguard"
 )
 
-// Ask has a permit wait. One of an emergency is used at once.
-func (s *State) Ask(c Context, p *Permit) error {
-	if len(p.Things) == 0 || len(p.Things) > maxThings || len(s.Permits) >= maxPermits {
-		return fmt.Errorf("a permit for %d things, with %d permits there", len(p.Things), len(s.Permits))
+// Request adds a permit, which waits to be granted. An emergency permit is in use at once and replaces permits that are not in
+// use yet for the same subjects.
+func (s *State) Request(c Context, p *Permit) error {
+	if len(p.Subjects) == 0 || len(p.Subjects) > maxSubjects || len(s.Permits) >= maxPermits {
+		return fmt.Errorf("a permit for %d things, with %d permits there", len(p.Subjects), len(s.Permits))
 	}
-	for i, t := range p.Things {
+	for i, t := range p.Subjects {
 		if err := t.Check(); err != nil {
 			return err
 		}
-		if s.Things[t] == nil {
+		if s.Subjects[t] == nil {
 			return fmt.Errorf("nothing is known of %s %s", t.Kind(), t.Name())
 		}
-		if slices.Contains(p.Things[:i], t) {
+		if slices.Contains(p.Subjects[:i], t) {
 			return fmt.Errorf("%s is named twice", t.Name())
 		}
-		if q := s.PermitOf(t); q != nil && !(p.Emergency && q.Phase < Used) {
+		if q := s.PermitOf(t); q != nil && !(p.Emergency && q.Phase < InUse) {
 			return fmt.Errorf("permit %d for %s is there: it %s", q.ID, t.Name(), q.Phase)
 		}
 	}
 	if p.Release == 0 && p.By == "" {
 		return fmt.Errorf("a permit needs the name of who asks")
 	}
-	p.ID, p.At, p.Phase, p.Back, p.Passed = c.Index, c.At, Asked, 0, 0
+	p.ID, p.At, p.Phase, p.ReturnIndex, p.Overtaken = c.Index, c.At, Requested, 0, 0
 	if p.Emergency {
-		for _, t := range p.Things { // what waited for the same is overtaken by it
+		for _, t := range p.Subjects { // ends the permits that it replaces
 			if q := s.PermitOf(t); q != nil {
-				s.end(q, "overtaken by an emergency")
+				s.endPermit(q, "overtaken by an emergency")
 			}
 		}
-		p.Phase = Used
+		p.Phase = InUse
 	}
 	s.Permits = append(s.Permits, p)
 	return nil
 }
 
-// Grant gives leave, if it is the permit's turn and the limits allow it.
-func (s *State) Grant(c Context, id uint64, m Measure) error {
+// Grant grants a waiting permit if the limits and the order of the requests allow it.
+func (s *State) Grant(c Context, id uint64, m Measurements) error {
 	p := s.Permit(id)
-	if p == nil || p.Phase != Asked {
-		return fmt.Errorf("permit %d does not wait", id)
+	if p == nil || p.Phase != Requested {
+		return fmt.Errorf("permit %d is not waiting to be granted", id)
 	}
-	passes, err := s.turn(p, m)
+	overtaken, err := s.checkGrant(p, m)
 	if err != nil && safeguard.Enabled("permit limits") {
 		return err
 	}
-	for _, q := range passes {
-		q.Passed++
+	for _, q := range overtaken {
+		q.Overtaken++
 	}
-	p.Phase, p.At, p.Only = Granted, c.At, holdsOnly(p.Things, m)
+	p.Phase, p.At, p.HeldOnlyCopies = Granted, c.At, holdOnlyCopies(p.Subjects, m)
 	return nil
 }
 
-// Use says that the holder, in one of its lives, takes its things out from now on. Only who has seen this agreed may act.
-func (s *State) Use(c Context, id uint64, holder string, life uint64) error {
+// Use states that the holder, in the given incarnation, may take the permit's subjects out of service from now on. The holder
+// may act only after it has seen that this entry is agreed.
+func (s *State) Use(c Context, id uint64, holder string, incarnation uint64) error {
 	p := s.Permit(id)
 	switch {
 	case p == nil:
@@ -70,61 +72,61 @@
 	case p.Holder != "" && p.Holder != holder:
 		return fmt.Errorf("permit %d is held by %s", id, p.Holder)
 	}
-	if err := s.Fits(s.takes(p), Measure{}); err != nil && p.Phase == Granted && safeguard.Enabled("limits at use") {
-		p.Phase, p.At = Asked, c.At // something has gone out since it was granted: it waits again
+	if err := s.CheckLimits(s.newlyUnavailable(p), Measurements{}); err != nil && p.Phase == Granted && safeguard.Enabled("limits at use") {
+		p.Phase, p.At = Requested, c.At // another subject has become unavailable since the grant: the permit waits again
 		return err
 	}
-	p.Phase, p.Life, p.At = Used, life, c.At
-	s.touch(p)
+	p.Phase, p.Incarnation, p.At = InUse, incarnation, c.At
+	s.markTouched(p)
 	return nil
 }
 
-// Lapse takes back a permit that was not used: nothing is out by it.
+// Lapse ends a permit that was not used, so that none of its subjects has been taken out of service.
 func (s *State) Lapse(c Context, id uint64, why string) error {
 	p := s.Permit(id)
 	if p == nil || p.Phase > Granted {
 		return fmt.Errorf("permit %d is in use or has ended", id)
 	}
-	s.end(p, why)
+	s.endPermit(p, why)
 	return nil
 }
 
-// Return says that the things are back, or may be used again. A gateway says so for itself in the life that used the permit,
-// or in a later one: an earlier life can't act any more.
-func (s *State) Return(c Context, id uint64, holder string, life uint64) error {
+// Return states that the subjects are back in service, or may be used again. A holder states this in the incarnation that used
+// the permit or in a later one; entries of an earlier incarnation are rejected, as that process can't act any more.
+func (s *State) Return(c Context, id uint64, holder string, incarnation uint64) error {
 	p := s.Permit(id)
 	switch {
 	case p == nil:
 		return fmt.Errorf("permit %d has ended", id)
-	case p.Phase != Used:
+	case p.Phase != InUse:
 		return fmt.Errorf("permit %d %s", id, p.Phase)
-	case p.Holder != "" && (p.Holder != holder || life < p.Life):
-		return fmt.Errorf("permit %d is held by %s, life %d", id, p.Holder, p.Life)
+	case p.Holder != "" && (p.Holder != holder || incarnation < p.Incarnation):
+		return fmt.Errorf("permit %d is held by %s, life %d", id, p.Holder, p.Incarnation)
 	}
-	p.Phase, p.At, p.Back = Returned, c.At, c.Index
+	p.Phase, p.At, p.ReturnIndex = Returned, c.At, c.Index
 	return nil
 }
 
-// End ends a permit by evidence: its holder has said that its things are back, and others have seen each of them well since.
+// End ends a permit whose holder has returned it, once others have observed each of its subjects as healthy since then.
 func (s *State) End(c Context, id uint64) error {
 	p := s.Permit(id)
 	if p == nil || p.Phase != Returned && safeguard.Enabled("holder's word") {
-		return fmt.Errorf("permit %d does not come back", id)
+		return fmt.Errorf("permit %d has not been returned by its holder", id)
 	}
-	for _, t := range p.Things {
+	for _, t := range p.Subjects {
 		if !safeguard.Enabled("evidence of return") {
 			break
 		}
-		if k := s.Things[t]; k != nil && (k.Health != Well || k.Index <= p.Back) {
-			return fmt.Errorf("%s has not been seen well since it came back", t.Name())
+		if k := s.Subjects[t]; k != nil && (k.Health != Healthy || k.Index <= p.ReturnIndex) {
+			return fmt.Errorf("%s has not been observed as healthy since its permit was returned", t.Name())
 		}
 	}
-	s.end(p, "seen serving")
+	s.endPermit(p, "seen serving")
 	return nil
 }
 
-// Word ends a permit by an operator's word.
-func (s *State) Word(c Context, id uint64, by string) error {
+// EndByOperator ends a permit at an operator's request, without evidence that its subjects are back.
+func (s *State) EndByOperator(c Context, id uint64, by string) error {
 	p := s.Permit(id)
 	if p == nil {
 		return fmt.Errorf("permit %d has ended", id)
@@ -132,111 +134,115 @@
 	if by == "" {
 		return fmt.Errorf("a permit is ended by an operator with a name")
 	}
-	s.end(p, "by the word of "+by)
+	s.endPermit(p, "by the word of "+by)
 	return nil
 }
 
-func (s *State) end(p *Permit, how string) {
+func (s *State) endPermit(p *Permit, how string) {
 	s.Permits = slices.DeleteFunc(s.Permits, func(q *Permit) bool { return q == p })
-	if s.Ended = append(s.Ended, Ended{*p, how}); len(s.Ended) > maxEnded {
+	if s.Ended = append(s.Ended, EndedPermit{*p, how}); len(s.Ended) > maxEnded {
 		s.Ended = s.Ended[1:]
 	}
 }
 
-// Seen is what somebody has seen of a thing.
-type Seen struct {
-	Thing Thing
-	Known
-	Witnesses []string // gateways that see it well
-	Forget    bool     // it is no part of the fleet any more
+// StatusUpdate is an observed status of a subject.
+type StatusUpdate struct {
+	Subject Subject `msgpack:"Thing"`
+	SubjectStatus
+	Witnesses []string // gateways that observe it as healthy
+	Forget    bool     // it has left the fleet
 }
 
-// See takes what has been seen. That a thing is well needs witnesses other than itself.
-func (s *State) See(c Context, all []Seen) error {
-	var refused error
-	for _, x := range all {
-		if err := x.Thing.Check(); err != nil || len(s.Things) >= 2*4096 {
-			refused = fmt.Errorf("%d things are known; %w", len(s.Things), err)
+// UpdateStatuses records observed statuses. A subject becomes healthy only if witnesses other than itself confirm it. Updates that
+// are rejected don't prevent the others; the error is that of the last one.
+func (s *State) UpdateStatuses(c Context, all []StatusUpdate) error {
+	var rejected error
+	for _, update := range all {
+		if err := update.Subject.Check(); err != nil || len(s.Subjects) >= 2*4096 {
+			rejected = fmt.Errorf("%d things are known; %w", len(s.Subjects), err)
 			continue
 		}
-		if x.Forget {
-			if s.PermitOf(x.Thing) == nil {
-				delete(s.Things, x.Thing)
+		if update.Forget {
+			if s.PermitOf(update.Subject) == nil {
+				delete(s.Subjects, update.Subject)
 			}
 			continue
 		}
-		if x.Health == Well && s.missing(x) > 0 {
-			refused = fmt.Errorf("%s is seen well by %d others, %d more are needed", x.Thing.Name(), len(x.Witnesses), s.missing(x))
+		if update.Health == Healthy && s.missingWitnesses(update) > 0 {
+			rejected = fmt.Errorf("%s is observed as healthy by %d witnesses, %d more are needed", update.Subject.Name(), len(update.Witnesses),
+				s.missingWitnesses(update))
 			continue
 		}
-		k, old := x.Known, s.Things[x.Thing]
-		k.Index, k.At, k.Sudden = c.Index, c.At, 0
+		status, old := update.SubjectStatus, s.Subjects[update.Subject]
+		status.Index, status.At, status.UnplannedStart = c.Index, c.At, 0
 		if old != nil {
-			if k.Sudden = old.Sudden; k.Life > old.Life && old.Life > 0 && s.PermitOf(x.Thing) == nil {
-				k.Sudden = c.At
+			if status.UnplannedStart = old.UnplannedStart; status.Incarnation > old.Incarnation && old.Incarnation > 0 &&
+				s.PermitOf(update.Subject) == nil {
+				status.UnplannedStart = c.At
 			}
 		}
-		s.Things[x.Thing] = &k
+		s.Subjects[update.Subject] = &status
 	}
-	return refused
+	return rejected
 }
 
-// missing is how many witnesses are too few: two, or as many as there are other gateways.
-func (s *State) missing(x Seen) int {
+// missingWitnesses returns how many more witnesses an update needs: requiredWitnesses are needed in all, or as many as there are
+// other gateways if these are fewer.
+func (s *State) missingWitnesses(update StatusUpdate) int {
 	others, seen := 0, map[string]bool{}
-	for t := range s.Things {
-		if t.Kind() == Gateway && t != x.Thing {
+	for t := range s.Subjects {
+		if t.Kind() == Gateway && t != update.Subject {
 			others++
 		}
-		if others >= witnesses { // that there are more changes nothing: each entry is applied at every gateway
+		if others >= requiredWitnesses { // further gateways don't change the result; stops early as every gateway applies each entry
 			break
 		}
 	}
-	for _, w := range x.Witnesses {
-		if Of(Gateway, w) != x.Thing {
+	for _, w := range update.Witnesses {
+		if NewSubject(Gateway, w) != update.Subject {
 			seen[w] = true
 		}
 	}
-	return max(0, min(witnesses, others)-len(seen))
+	return max(0, min(requiredWitnesses, others)-len(seen))
 }
 
-// Apply applies a proposal of a driver or a holder. from and life are of the gateway that proposes it.
-func Apply(s *State, c Context, from string, life uint64, p Proposal) error {
+// Apply applies a proposal of a driver or a holder. from and incarnation identify the gateway that proposed it.
+func Apply(s *State, c Context, from string, incarnation uint64, p Proposal) error {
 	switch b := p.Body.(type) {
-	case SeeBody:
-		return s.See(c, b.Seen)
+	case StatusUpdateBody:
+		return s.UpdateStatuses(c, b.Updates)
 	case *Permit:
-		return s.Ask(c, b)
+		return s.Request(c, b)
 	case *Release:
 		return s.Begin(c, b)
 	case GrantBody:
-		return s.Grant(c, b.ID, b.Measure)
+		return s.Grant(c, b.ID, b.Measurements)
 	case PermitBody:
 		switch p.Kind {
 		case "use":
-			return s.Use(c, b.ID, b.Holder, b.Life)
+			return s.Use(c, b.ID, b.Holder, b.Incarnation)
 		case "lapse":
 			return s.Lapse(c, b.ID, b.Why)
 		case "return":
-			return s.Return(c, b.ID, b.Holder, b.Life)
+			return s.Return(c, b.ID, b.Holder, b.Incarnation)
 		case "end":
 			return s.End(c, b.ID)
 		case "word":
-			return s.Word(c, b.ID, b.Why)
+			return s.EndByOperator(c, b.ID, b.Why)
 		}
-	case HaltBody:
+	case ReleaseBody:
 		switch p.Kind {
 		case "stand":
-			return s.Stand(c, b.ID)
+			return s.MarkReached(c, b.ID)
 		case "next":
-			return s.Next(c, b.ID)
+			return s.NextBatch(c, b.ID)
 		case "halt":
-			return s.Pause(c, b.ID, b.Reason)
+			return s.Halt(c, b.ID, b.Reason)
 		case "continue":
 			return s.Continue(c, b.ID)
 		case "revert":
 			return s.RollBack(c, b.ID, b.Reason)
 		}
 	}
-	return fmt.Errorf("change: no entry %q", p.Kind)
+	return fmt.Errorf("change: entry kind %q is unknown or has a body of type %T", p.Kind, p.Body)
 }
--- a/internal/fleet/change/drive.go
+++ b/internal/fleet/change/drive.go
@@ -6,163 +6,170 @@
 	"slices"
 )
 
-// Observation is what the gateways' reports come to for one thing, as of now.
+// Observation is the present status of one subject according to the gateways' reports.
 type Observation struct {
 	Hall            string
 	Health          Health
-	Life            uint64
+	Incarnation     uint64
 	Version, Config string
-	Witnesses       []string
-	Left            bool // a gateway that said that it leaves for good
+	Witnesses       []string // gateways that observe it as healthy
+	Left            bool     // a gateway that has announced that it leaves the fleet
 }
 
-// View is what who drives sees.
+// View is the input of the Driver, as the leading gateway sees it.
 type View struct {
 	Context
-	Measure
-	Self     string
-	Things   map[Thing]Observation // those of which anything was heard; others are out
-	Samples  map[string]Sample     // by gateway
-	Classes  int
-	Lonely   int64  // ms without a majority before this gateway began to lead, until it has driven once
-	Frozen   string // the period that forbids releases now, "" for none
-	FreezeIn int64  // ms until the next one does, 0 for none known
+	Measurements
+	Self         string
+	Subjects     map[Subject]Observation // subjects with reports; all others are unavailable
+	Samples      map[string]Sample       // by gateway
+	Classes      int                     // number of classes
+	NoMajorityMs int64                   // how long there was no majority before this gateway became leader; 0 after the first Drive
+	FreezePeriod string                  // the freeze period that forbids releases now, "": none
+	FreezeInMs   int64                   // time until the next such period begins, 0: none is known
 }
 
-// Proposal is an entry that is proposed.
+// Proposal is a proposed log entry.
 type Proposal struct {
 	Kind string
 	Body any
 }
 
-// Bodies of entries that the driver proposes.
+// Bodies of the entries that the driver proposes. The tags keep the field names of earlier versions between gateways and in the log.
 type (
-	SeeBody   struct{ Seen []Seen }
+	StatusUpdateBody struct {
+		Updates []StatusUpdate `msgpack:"Seen"`
+	}
 	GrantBody struct {
-		ID      uint64
-		Measure Measure
+		ID           uint64
+		Measurements Measurements `msgpack:"Measure"`
 	}
 	PermitBody struct {
-		ID     uint64
-		Why    string
-		Holder string
-		Life   uint64
+		ID          uint64
+		Why         string
+		Holder      string
+		Incarnation uint64 `msgpack:"Life"`
 	}
-	HaltBody struct {
+	ReleaseBody struct {
 		ID     uint64
 		Reason string
 	}
 )
 
 const (
-	waitLimit = 60_000 // ms for a holder that is out to come back to what it waits for
-	useLimit  = 10_000 // ms for a holder to use a grant
-	lonelyMax = 5_000  // ms without a majority after which a release does not go on by itself
-	seeMost   = 256    // things in one entry
+	holderAbsenceLimitMs = 60_000 // a waiting permit lapses when its holder has been unavailable this long
+	useTimeoutMs         = 10_000 // a granted permit that its holder has not used in this time lapses
+	maxNoMajorityMs      = 5_000  // a longer time without a majority halts a release
+	maxStatusUpdates     = 256    // in one entry
 )
 
-// Driver makes the fleet go on: it belongs to the gateway that leads the agreement, and has to see each of its proposals
-// applied or failed before it is asked again.
+// Driver proposes the next steps of permits and releases. It runs at the leader of the agreement. All its proposals must have been
+// applied or have failed before Drive is called again.
 type Driver struct {
-	judge   *Judge
-	of      uint64 // the release and
-	batch   int    // batch that judge is for
-	fed     int64
-	usual   map[string][]Tally
-	last    map[string]Counts
-	reading int64
+	comparator      *Comparator
+	comparedRelease uint64             // ID of the release that comparator is for
+	comparedBatch   int                // batch for which comparator counts calls
+	comparedAt      int64              // when samples were last compared, Unix ms
+	baseline        map[string][]Tally // by gateway, counts from times without a release
+	lastCounts      map[string]Counts  // by gateway, at baselineAt
+	baselineAt      int64              // when baseline was last updated, Unix ms
 }
 
-// NewDriver returns one that has seen nothing.
-func NewDriver() *Driver { return &Driver{usual: map[string][]Tally{}, last: map[string]Counts{}} }
+// NewDriver returns a driver without a baseline.
+func NewDriver() *Driver {
+	return &Driver{baseline: map[string][]Tally{}, lastCounts: map[string]Counts{}}
+}
 
-const feedEvery = 1000 // ms between two looks at the counts
+const compareEveryMs = 1000 // interval at which the gateways' counts are read
 
-// Drive returns what is to be proposed now.
+// Drive returns the entries to propose now.
 func (d *Driver) Drive(s *State, v *View) (out []Proposal) {
-	if seen := sightings(s, v); len(seen) > 0 {
-		out = append(out, Proposal{"see", SeeBody{seen}})
+	if updates := statusUpdates(s, v); len(updates) > 0 {
+		out = append(out, Proposal{"see", StatusUpdateBody{updates}})
 	}
-	out = append(out, permits(s, v)...)
-	d.learn(s, v)
+	out = append(out, permitSteps(s, v)...)
+	d.updateBaseline(s, v)
 	if r := s.Current(); r != nil {
-		out = append(out, d.release(s, r, v)...)
+		out = append(out, d.releaseSteps(s, r, v)...)
 	}
 	return out
 }
 
-// sightings are the things of which something else is seen than is agreed, and those that have to be seen anew.
-func sightings(s *State, v *View) (out []Seen) {
-	all := slices.Sorted(maps.Keys(s.Things))
-	for _, t := range slices.Sorted(maps.Keys(v.Things)) {
-		if s.Things[t] == nil {
+// statusUpdates returns updates for subjects whose observed status differs from the agreed one, and for healthy subjects whose
+// returned permit needs an observation after the return.
+func statusUpdates(s *State, v *View) (out []StatusUpdate) {
+	all := slices.Sorted(maps.Keys(s.Subjects))
+	for _, t := range slices.Sorted(maps.Keys(v.Subjects)) {
+		if s.Subjects[t] == nil {
 			all = append(all, t)
 		}
 	}
 	for _, t := range all {
-		if len(out) == seeMost {
+		if len(out) == maxStatusUpdates {
 			break
 		}
-		k, sight := s.Things[t], v.Things[t]
-		x := Seen{Thing: t, Known: Known{Hall: sight.Hall, Health: sight.Health, Life: sight.Life, Version: sight.Version, Config: sight.Config},
-			Witnesses: sight.Witnesses[:min(len(sight.Witnesses), witnessesNamed)]}
-		if k == nil {
-			if x.Health != Well || s.missing(x) == 0 {
-				out = append(out, x)
+		agreed, observed := s.Subjects[t], v.Subjects[t]
+		update := StatusUpdate{Subject: t, SubjectStatus: SubjectStatus{Hall: observed.Hall, Health: observed.Health,
+			Incarnation: observed.Incarnation, Version: observed.Version, Config: observed.Config},
+			Witnesses: observed.Witnesses[:min(len(observed.Witnesses), maxListedWitnesses)]}
+		if agreed == nil {
+			if update.Health != Healthy || s.missingWitnesses(update) == 0 {
+				out = append(out, update)
 			}
 			continue
 		}
-		if sight.Hall == "" { // nothing is heard of it: as it was, and out
-			x.Known = *k
-			x.Health = Out
-			if sight.Left && s.PermitOf(t) == nil {
-				x.Forget = true
-				out = append(out, x)
+		if observed.Hall == "" { // there are no reports on it: unavailable, otherwise unchanged
+			update.SubjectStatus = *agreed
+			update.Health = Unavailable
+			if observed.Left && s.PermitOf(t) == nil {
+				update.Forget = true
+				out = append(out, update)
 				continue
 			}
 		}
-		if x.Health == Well && s.missing(x) > 0 {
-			x.Health = Cold // nobody else has seen it well
+		if update.Health == Healthy && s.missingWitnesses(update) > 0 {
+			update.Health = Cold // too few others confirm that it is healthy
 		}
 		p := s.PermitOf(t)
-		anew := p != nil && p.Phase == Returned && k.Index <= p.Back && x.Health == Well
-		if anew || x.Health != k.Health || x.Life != k.Life || x.Version != k.Version || x.Config != k.Config || x.Hall != k.Hall {
-			out = append(out, x)
+		confirms := p != nil && p.Phase == Returned && agreed.Index <= p.ReturnIndex && update.Health == Healthy
+		if confirms || update.Health != agreed.Health || update.Incarnation != agreed.Incarnation || update.Version != agreed.Version ||
+			update.Config != agreed.Config || update.Hall != agreed.Hall {
+			out = append(out, update)
 		}
 	}
 	return out
 }
 
-// permits are the steps of permits that are due.
-func permits(s *State, v *View) (out []Proposal) {
+// permitSteps returns the entries by which permits move on now.
+func permitSteps(s *State, v *View) (out []Proposal) {
 	granted := false
 	for _, p := range s.Permits {
-		gone := p.Holder != "" && v.Things[Of(Gateway, p.Holder)].Health == Out
+		holderUnavailable := p.Holder != "" && v.Subjects[NewSubject(Gateway, p.Holder)].Health == Unavailable
 		switch p.Phase {
-		case Asked:
-			if gone { // it keeps its place for a while: a holder may have said nothing for a moment
-				if k := s.Things[Of(Gateway, p.Holder)]; k == nil || k.Health == Out && v.At-k.At > waitLimit {
+		case Requested:
+			if holderUnavailable { // the permit keeps its place for a time, since the holder may have been silent for a moment only
+				if k := s.Subjects[NewSubject(Gateway, p.Holder)]; k == nil || k.Health == Unavailable && v.At-k.At > holderAbsenceLimitMs {
 					out = append(out, Proposal{"lapse", PermitBody{ID: p.ID, Why: p.Holder + " is out, and holds it"}})
 				}
-			} else if !granted && s.Turn(p, v.Measure) == nil {
-				granted = true // the next one is judged by what this has left
-				out = append(out, Proposal{"grant", GrantBody{p.ID, v.Measure}})
+			} else if !granted && s.CheckGrant(p, v.Measurements) == nil {
+				granted = true // the next one is judged when this grant has been applied
+				out = append(out, Proposal{"grant", GrantBody{p.ID, v.Measurements}})
 			}
 		case Granted:
 			switch {
 			case p.Holder == "":
 				out = append(out, Proposal{"use", PermitBody{ID: p.ID}})
-			case v.At-p.At > useLimit:
+			case v.At-p.At > useTimeoutMs:
 				out = append(out, Proposal{"lapse", PermitBody{ID: p.ID, Why: "it was not used"}})
 			}
-		case Used:
-			if r := s.releaseOf(p); r != nil && s.reached(r, p, v) {
-				out = append(out, Proposal{"return", PermitBody{ID: p.ID, Holder: p.Holder, Life: v.Things[p.Things[0]].Life}})
+		case InUse:
+			if r := s.releaseOf(p); r != nil && s.stepReached(r, p, v) {
+				out = append(out, Proposal{"return", PermitBody{ID: p.ID, Holder: p.Holder, Incarnation: v.Subjects[p.Subjects[0]].Incarnation}})
 			}
 		case Returned:
-			if !slices.ContainsFunc(p.Things, func(t Thing) bool {
-				k := s.Things[t]
-				return k != nil && (k.Health != Well || k.Index <= p.Back)
+			if !slices.ContainsFunc(p.Subjects, func(t Subject) bool {
+				k := s.Subjects[t]
+				return k != nil && (k.Health != Healthy || k.Index <= p.ReturnIndex)
 			}) {
 				out = append(out, Proposal{"end", PermitBody{ID: p.ID}})
 			}
@@ -180,43 +187,43 @@
 	return nil
 }
 
-// reached reports whether the things of a step have come to what it is for: by their own reports, from lives that can't be
-// those of before.
-func (s *State) reached(r *Release, p *Permit, v *View) bool {
-	for _, t := range p.Things {
-		x, ok := v.Things[t]
-		k := Known{Life: x.Life, Version: x.Version, Config: x.Config}
+// stepReached reports whether all subjects of a step have reached its target by their own reports. Reports of an incarnation before
+// the one that used the permit don't count; a worker must have a new incarnation.
+func (s *State) stepReached(r *Release, p *Permit, v *View) bool {
+	for _, t := range p.Subjects {
+		x, ok := v.Subjects[t]
+		k := SubjectStatus{Incarnation: x.Incarnation, Version: x.Version, Config: x.Config}
 		switch {
-		case !ok || x.Health == Out || x.Life < p.Life:
+		case !ok || x.Health == Unavailable || x.Incarnation < p.Incarnation:
 			return false
-		case r.What == Workers && fmt.Sprint(x.Life) == r.From[t], r.What != Workers && k.at(r.What) != r.Target(t):
+		case r.What == Workers && fmt.Sprint(x.Incarnation) == r.From[t], r.What != Workers && k.current(r.What) != r.Target(t):
 			return false
 		}
 	}
 	return true
 }
 
-// learn notes how gateways usually do while nothing is being changed.
-func (d *Driver) learn(s *State, v *View) {
-	if s.Current() != nil || v.At-d.reading < feedEvery {
+// updateBaseline adds the gateways' counts to the baseline while there is no release. Gateways with a permit are skipped.
+func (d *Driver) updateBaseline(s *State, v *View) {
+	if s.Current() != nil || v.At-d.baselineAt < compareEveryMs {
 		return
 	}
-	d.reading = v.At
+	d.baselineAt = v.At
 	for g, x := range v.Samples {
-		diff, ok := Delta(x.Counts, d.last[g])
-		d.last[g] = x.Counts
-		if !ok || s.PermitOf(Of(Gateway, g)) != nil {
+		diff, ok := Delta(x.Counts, d.lastCounts[g])
+		d.lastCounts[g] = x.Counts
+		if !ok || s.PermitOf(NewSubject(Gateway, g)) != nil {
 			continue
 		}
-		u := d.usual[g]
-		if len(u) != len(diff) {
-			u = make([]Tally, len(diff))
+		total := d.baseline[g]
+		if len(total) != len(diff) {
+			total = make([]Tally, len(diff))
 		}
 		for k := range diff {
-			u[k] = u[k].Plus(diff[k])
+			total[k] = total[k].Plus(diff[k])
 		}
-		d.usual[g] = u
+		d.baseline[g] = total
 	}
-	maps.DeleteFunc(d.usual, func(g string, _ []Tally) bool { _, there := v.Samples[g]; return !there })
-	maps.DeleteFunc(d.last, func(g string, _ Counts) bool { _, there := v.Samples[g]; return !there })
+	maps.DeleteFunc(d.baseline, func(g string, _ []Tally) bool { _, there := v.Samples[g]; return !there })
+	maps.DeleteFunc(d.lastCounts, func(g string, _ Counts) bool { _, there := v.Samples[g]; return !there })
 }
--- a/internal/fleet/change/evidence.go
+++ b/internal/fleet/change/evidence.go
@@ -5,48 +5,50 @@
 	"math"
 )
 
-type stream struct {
-	log   []float64 // log likelihood ratio of each alternative
-	mix   float64
-	total float64 // with what an interval could gain at most
+// eProcess accumulates the evidence for one kind of harm in one class. All values are logarithms.
+type eProcess struct {
+	logRatios  []float64 // likelihood ratio of each alternative
+	logMixture float64   // mean of the likelihood ratios
+	total      float64   // the mixture with the gain of each interval limited to maxIntervalGain
 }
 
-// cell is what one gateway did in an interval, of one class and kind of harm.
+// cell holds the calls of one gateway in one interval for one class and kind of harm.
 type cell struct {
-	n, x, usual float64 // calls, those that went wrong, how much more often than elsewhere they usually do
+	// baselineRatio is how many times as often as the fleet's average this gateway harmed calls before the release.
+	calls, harmed, baselineRatio float64
 }
 
-// harm is a kind of harm: of a tally, how many calls it is looked for in, and how many of these it befell.
+// harm is a kind of harm. count returns how many calls of a tally could have been harmed, and how many were.
 type harm struct {
 	slow  bool
-	count func(t Tally) (n, x float64)
+	count func(t Tally) (calls, harmed float64)
 }
 
-// harms are the kinds of a class: refused, failed, and slower than the quantiles of all that are compared, in this interval.
-// They have to be of both groups together: the quantiles of one alone would be nearer to its own calls than to the other's.
-func (j *Judge) harms(class int, both []string, delta map[string][]Tally) map[string]harm {
+// harms returns the kinds of harm in a class: refused, failed, and slower than each of the quantiles of latency in this interval.
+// The quantiles are those of both groups together: those of one group alone would fit its own calls better than the other's.
+func (c *Comparator) harms(class int, gateways []string, delta map[string][]Tally) map[string]harm {
 	var sum Tally
-	for _, g := range both {
+	for _, g := range gateways {
 		sum = sum.Plus(delta[g][class])
 	}
-	of := fmt.Sprintf("class %d", class)
-	if class == j.classes {
-		of = "all classes"
+	label := fmt.Sprintf("class %d", class)
+	if class == c.classes {
+		label = "all classes"
 	}
 	h := map[string]harm{
-		of + " refused": {count: func(t Tally) (float64, float64) { return float64(t.calls()), float64(t.Shed) }},
-		of + " failed":  {count: func(t Tally) (float64, float64) { return float64(t.calls()), float64(t.Failed) }},
+		label + " refused": {count: func(t Tally) (float64, float64) { return float64(t.calls()), float64(t.Shed) }},
+		label + " failed":  {count: func(t Tally) (float64, float64) { return float64(t.calls()), float64(t.Failed) }},
 	}
 	for _, q := range quantiles {
 		cut, below := 0, uint64(0)
 		for ; cut < Buckets-1; cut++ {
-			if below += sum.Took[cut]; float64(below) >= q*float64(sum.Served) {
+			if below += sum.Latency[cut]; float64(below) >= q*float64(sum.Served) {
 				break
 			}
 		}
-		h[fmt.Sprintf("%s slow at %g%%", of, 100*q)] = harm{slow: true, count: func(t Tally) (float64, float64) {
+		h[fmt.Sprintf("%s slow at %g%%", label, 100*q)] = harm{slow: true, count: func(t Tally) (float64, float64) {
 			above := uint64(0)
-			for _, n := range t.Took[cut+1:] {
+			for _, n := range t.Latency[cut+1:] {
 				above += n
 			}
 			return float64(t.Served), float64(above)
@@ -55,68 +57,73 @@
 	return h
 }
 
-func (j *Judge) cells(class int, names []string, delta map[string][]Tally, of harm, n, x float64) (out []cell) {
-	for _, g := range names {
-		c := cell{usual: 1}
-		c.n, c.x = of.count(delta[g][class])
-		if u, ok := j.usual[g]; ok && n > 0 {
-			a, b := of.count(u[class])
-			c.usual = (b + shrink) / (a*x/n + shrink)
+// cells returns the calls of the given gateways. fleetCalls and fleetHarmed are the results of fleetBaseline.
+func (c *Comparator) cells(class int, gateways []string, delta map[string][]Tally, kind harm,
+	fleetCalls, fleetHarmed float64) (out []cell) {
+	for _, g := range gateways {
+		result := cell{baselineRatio: 1}
+		result.calls, result.harmed = kind.count(delta[g][class])
+		if u, ok := c.baseline[g]; ok && fleetCalls > 0 {
+			calls, harmed := kind.count(u[class])
+			result.baselineRatio = (harmed + priorHarmedCalls) / (calls*fleetHarmed/fleetCalls + priorHarmedCalls)
 		}
-		out = append(out, c)
+		out = append(out, result)
 	}
 	return out
 }
 
-// usually is how often a harm befalls the fleet's calls in its usual course.
-func (j *Judge) usually(class int, of harm) (n, x float64) {
-	for _, u := range j.usual {
-		a, b := of.count(u[class])
-		n, x = n+a, x+b
+// fleetBaseline returns the fleet's calls and harmed calls from before the release.
+func (c *Comparator) fleetBaseline(class int, kind harm) (calls, harmed float64) {
+	for _, u := range c.baseline {
+		a, b := kind.count(u[class])
+		calls, harmed = calls+a, harmed+b
 	}
-	return n, x
+	return calls, harmed
 }
 
-func (j *Judge) stream(name string) *stream {
-	s := j.streams[name]
+func (c *Comparator) eProcess(name string) *eProcess {
+	s := c.eProcesses[name]
 	if s == nil {
-		s = &stream{log: make([]float64, len(alternatives))}
-		j.streams[name] = s
+		s = &eProcess{logRatios: make([]float64, len(alternatives))}
+		c.eProcesses[name] = s
 	}
 	return s
 }
 
-// evidence adds the log likelihood ratios of one stratum in one interval.
-func evidence(gain []float64, allowed float64, changed, control []cell) {
+// addEvidence adds the log likelihood ratios of one stratum in one interval to gain. allowed is how many times as often the changed
+// gateways may harm calls. n is calls weighted by baselineRatio, x harmed calls; 1 is the changed group, 0 the control group.
+func addEvidence(gain []float64, allowed float64, changed, control []cell) {
 	var n1, n0, x1, x0 float64
 	for _, c := range changed {
-		n1, x1 = n1+c.n*c.usual, x1+c.x
+		n1, x1 = n1+c.calls*c.baselineRatio, x1+c.harmed
 	}
 	for _, c := range control {
-		n0, x0 = n0+c.n*c.usual, x0+c.x
+		n0, x0 = n0+c.calls*c.baselineRatio, x0+c.harmed
 	}
 	if n1 == 0 || n0 == 0 || x1+x0 == 0 {
 		return
 	}
-	chance := func(times float64) float64 { return n1 * times / (n0 + n1*times) }
-	none := chance(allowed)
+	// changedShare is the probability that a harmed call is one of the changed group, if that harms calls so many times as often.
+	changedShare := func(times float64) float64 { return n1 * times / (n0 + n1*times) }
+	nullShare := changedShare(allowed)
 	for i, a := range alternatives {
-		some := chance(allowed * a)
-		gain[i] += x1*math.Log(some/none) + x0*math.Log(max(leastGain, (1-some)/(1-none)))
+		altShare := changedShare(allowed * a)
+		gain[i] += x1*math.Log(altShare/nullShare) + x0*math.Log(max(minLikelihoodRatio, (1-altShare)/(1-nullShare)))
 	}
 }
 
-func (s *stream) take(gain []float64) {
-	most := math.Inf(-1)
+// add adds the log likelihood ratios of one interval.
+func (s *eProcess) add(gain []float64) {
+	largest := math.Inf(-1)
 	for i, g := range gain {
-		s.log[i] += g
-		most = max(most, s.log[i])
+		s.logRatios[i] += g
+		largest = max(largest, s.logRatios[i])
 	}
 	sum := 0.0
-	for _, l := range s.log {
-		sum += math.Exp(l-most) / float64(len(s.log))
+	for _, l := range s.logRatios {
+		sum += math.Exp(l-largest) / float64(len(s.logRatios))
 	}
-	mix := most + math.Log(sum)
-	s.total += min(math.Log(mostGain), mix-s.mix)
-	s.mix = mix
+	mixture := largest + math.Log(sum)
+	s.total += min(math.Log(maxIntervalGain), mixture-s.logMixture)
+	s.logMixture = mixture
 }
--- a/internal/fleet/change/permit.go
+++ b/internal/fleet/change/permit.go
@@ -12,66 +12,68 @@
 
 // The phases of a permit.
 const (
-	Asked    Phase = iota // it waits
-	Granted               // its holder may use it; nothing is out yet
-	Used                  // its things may be out
-	Returned              // its holder says that they are back, or are to be used again
+	Requested Phase = iota // waiting to be granted
+	Granted                // the holder may use it; its subjects are still in service
+	InUse                  // its subjects may be out of service
+	Returned               // the holder has stated that they are back, or may be used again
 )
 
 func (p Phase) String() string {
 	return [...]string{"waits", "granted", "out", "coming back"}[min(p, Returned)]
 }
 
-// Permit is leave for things to be out.
+// Permit allows its subjects to be out of service. The tags keep the field names of earlier versions on disk and between
+// gateways.
 type Permit struct {
-	ID        uint64 // of the entry that asked for it: the order of asking
-	Things    []Thing
-	Holder    string // the gateway that takes them out, "" for all of the fleet by what the log says
-	By, Why   string
-	Release   uint64 // that it is a step of, 0 for none
-	Emergency bool   // it asked nobody
-	Phase     Phase
-	Life      uint64 // of the holder when it was used
-	Only      bool   // the only copies of a function were among them when it was granted
-	Passed    int    // permits that asked later and were granted before
-	Back      uint64 // the entry that said that they are back
-	At        int64  // of the last phase, Unix ms
+	ID          uint64    // index of the log entry that requested it, which gives the order of the requests
+	Subjects    []Subject `json:"Things" msgpack:"Things"`
+	Holder      string    // the gateway that takes them out of service; "": all gateways act on it as they apply the log
+	By, Why     string
+	Release     uint64 // the release of which it is a step, 0: none
+	Emergency   bool   // it needs no grant
+	Phase       Phase
+	Incarnation uint64 `json:"Life" msgpack:"Life"` // of the holder when it used the permit
+	// HeldOnlyCopies states that a subject held the only copies of a function when the permit was granted.
+	HeldOnlyCopies bool   `json:"Only" msgpack:"Only"`
+	Overtaken      int    `json:"Passed" msgpack:"Passed"` // how many later requests were granted before it
+	ReturnIndex    uint64 `json:"Back" msgpack:"Back"`     // index of the entry by which it was returned
+	At             int64  // when the phase last changed, Unix ms
 }
 
 const (
-	maxPermits     = 1024
-	maxThings      = 512 // of a permit
-	maxPassed      = 8   // a permit that waits for its hall is passed so often at most
-	maxEnded       = 64  // that are remembered to be shown
-	witnesses      = 2   // gateways that have to see a thing well, where there are as many
-	witnessesNamed = 4   // of them in an entry, so that its size does not follow from the fleet's
+	maxPermits         = 1024
+	maxSubjects        = 512 // in one permit or release
+	maxOvertaken       = 8   // how often a permit that waits for a limit of its hall or of only copies may be overtaken
+	maxEnded           = 64  // ended permits that State retains for display
+	requiredWitnesses  = 2   // gateways that must observe a subject as healthy, where there are as many other gateways
+	maxListedWitnesses = 4   // witnesses listed in an entry, so that its size doesn't grow with the fleet
 )
 
-// Ended is a permit that has ended, and how.
-type Ended struct {
+// EndedPermit is a permit that has ended, and how it ended.
+type EndedPermit struct {
 	Permit
 	How string
 }
 
-// Context is the place of an entry in the log.
+// Context is the position of an entry in the log.
 type Context struct {
 	Index uint64
-	At    int64 // the log's time, Unix ms
+	At    int64 // log time of the entry, Unix ms
 }
 
-// State is what is agreed of changes. It is changed by the log's entries alone.
+// State is the agreed state of permits and releases. Only log entries change it.
 type State struct {
 	Limits   Limits
-	Things   map[Thing]*Known
-	Permits  []*Permit // in the order of asking
-	Ended    []Ended
+	Subjects map[Subject]*SubjectStatus `json:"Things" msgpack:"Things"`
+	Permits  []*Permit                  // in the order in which they were requested
+	Ended    []EndedPermit
 	Releases []*Release
 }
 
-// NewState is the state before the first entry.
-func NewState(l Limits) *State { return &State{Limits: l, Things: map[Thing]*Known{}} }
+// NewState returns the state before the first entry.
+func NewState(l Limits) *State { return &State{Limits: l, Subjects: map[Subject]*SubjectStatus{}} }
 
-// Permit returns the one that has an ID, nil if it has ended.
+// Permit returns the permit with an ID, nil if it has ended.
 func (s *State) Permit(id uint64) *Permit {
 	for _, p := range s.Permits {
 		if p.ID == id {
@@ -81,90 +83,94 @@
 	return nil
 }
 
-// PermitOf returns the permit that names a thing, nil if none does.
-func (s *State) PermitOf(t Thing) *Permit {
+// PermitOf returns the permit that contains a subject, nil if there is none.
+func (s *State) PermitOf(t Subject) *Permit {
 	for _, p := range s.Permits {
-		if slices.Contains(p.Things, t) {
+		if slices.Contains(p.Subjects, t) {
 			return p
 		}
 	}
 	return nil
 }
 
-// out reports whether a thing counts as out: by a permit that was granted, or against its will.
-func (s *State) out(t Thing) bool {
-	if k := s.Things[t]; k != nil && k.Health != Well {
+// countsUnavailable reports whether a subject counts towards the limits: it has a granted permit, or it is not healthy.
+func (s *State) countsUnavailable(t Subject) bool {
+	if k := s.Subjects[t]; k != nil && k.Health != Healthy {
 		return true
 	}
 	p := s.PermitOf(t)
-	return p != nil && p.Phase > Asked
+	return p != nil && p.Phase > Requested
 }
 
-// Outs are all things that count as out.
-func (s *State) Outs() (out []Thing) {
-	for _, t := range slices.Sorted(maps.Keys(s.Things)) {
-		if s.out(t) {
+// CountedUnavailable returns all subjects that count as unavailable, sorted.
+func (s *State) CountedUnavailable() (out []Subject) {
+	for _, t := range slices.Sorted(maps.Keys(s.Subjects)) {
+		if s.countsUnavailable(t) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// Turn reports why a permit that waits may not be granted now: what asked before goes first, unless only its hall or its
-// copies keep it back, there is room for both, and it has not been passed too often.
-func (s *State) Turn(p *Permit, m Measure) error {
-	_, err := s.turn(p, m)
+// CheckGrant returns why a waiting permit may not be granted now, nil if it may. Earlier requests of the same kind of subjects go
+// first. One of them may be overtaken only if it waits for a limit of its hall or of only copies, the limits of the fleet have
+// room for both permits, they have no hall in common, and it has been overtaken fewer than maxOvertaken times.
+func (s *State) CheckGrant(p *Permit, m Measurements) error {
+	_, err := s.checkGrant(p, m)
 	return err
 }
 
-func (s *State) turn(p *Permit, m Measure) (passes []*Permit, err error) {
-	if err := s.Fits(s.takes(p), m); err != nil {
+// checkGrant is CheckGrant that also returns the permits that a grant would overtake.
+func (s *State) checkGrant(p *Permit, m Measurements) (overtaken []*Permit, err error) {
+	if err := s.CheckLimits(s.newlyUnavailable(p), m); err != nil {
 		return nil, err
 	}
 	for _, q := range s.Permits {
 		if q == p {
 			break
 		}
-		if q.Phase != Asked || !share(p, q) {
+		if q.Phase != Requested || !shareBudget(p, q) {
 			continue
 		}
-		local, _ := s.Fits(q.Things, m).(hallOnly)
-		both := slices.Concat(p.Things, q.Things)
-		if local.error == nil || q.Passed >= maxPassed || s.sameHall(p, q) || s.fleetFits(both) != nil {
-			return nil, fmt.Errorf("permit %d for %s asked before", q.ID, names(q.Things))
+		local, _ := s.CheckLimits(q.Subjects, m).(localLimitError)
+		both := slices.Concat(p.Subjects, q.Subjects)
+		if local.error == nil || q.Overtaken >= maxOvertaken || s.sameHall(p, q) || s.checkFleetLimits(both) != nil {
+			return nil, fmt.Errorf("permit %d for %s asked before", q.ID, joinNames(q.Subjects))
 		}
-		passes = append(passes, q)
+		overtaken = append(overtaken, q)
 	}
-	return passes, nil
+	return overtaken, nil
 }
 
-// TakeBack is the entry by which a permit's things may be used again, as of now: one that was not used lapses, one that is in use
-// is returned. life is that of who says so. The error says why there is none: it has ended, or comes back already.
-func (s *State) TakeBack(id, life uint64, why string) (Proposal, error) {
+// CancelOrReturn returns the entry after which a permit's subjects may be used again, as of now: a permit that was not used
+// lapses, one that is in use is returned. incarnation is that of the proposing gateway. The error states why there is no such
+// entry: the permit has ended or has been returned already.
+func (s *State) CancelOrReturn(id, incarnation uint64, why string) (Proposal, error) {
 	p := s.Permit(id)
 	switch {
 	case p == nil:
 		return Proposal{}, fmt.Errorf("permit %d has ended", id)
 	case p.Phase <= Granted:
 		return Proposal{"lapse", PermitBody{ID: id, Why: why}}, nil
-	case p.Phase == Used:
-		return Proposal{"return", PermitBody{ID: id, Holder: p.Holder, Life: max(p.Life, life)}}, nil
+	case p.Phase == InUse:
+		return Proposal{"return", PermitBody{ID: id, Holder: p.Holder, Incarnation: max(p.Incarnation, incarnation)}}, nil
 	}
 	return Proposal{}, fmt.Errorf("permit %d %s", id, p.Phase)
 }
 
-// takes are the things that go out by a permit: a release that has something started which is out already takes nothing.
-func (s *State) takes(p *Permit) []Thing {
+// newlyUnavailable returns the subjects that a permit makes unavailable. A release step without a holder restarts subjects; those
+// that are unavailable already don't count again.
+func (s *State) newlyUnavailable(p *Permit) []Subject {
 	if p.Release == 0 || p.Holder != "" {
-		return p.Things
+		return p.Subjects
 	}
-	return slices.DeleteFunc(slices.Clone(p.Things), func(t Thing) bool { k := s.Things[t]; return k != nil && k.Health == Out })
+	return slices.DeleteFunc(slices.Clone(p.Subjects), func(t Subject) bool { k := s.Subjects[t]; return k != nil && k.Health == Unavailable })
 }
 
-// share reports whether two permits draw on one budget.
-func share(p, q *Permit) bool {
-	for _, a := range p.Things {
-		for _, b := range q.Things {
+// shareBudget reports whether two permits count towards a common limit, as both contain subjects of one kind.
+func shareBudget(p, q *Permit) bool {
+	for _, a := range p.Subjects {
+		for _, b := range q.Subjects {
 			if a.Kind() == b.Kind() {
 				return true
 			}
@@ -174,9 +180,9 @@
 }
 
 func (s *State) sameHall(p, q *Permit) bool {
-	for _, a := range p.Things {
-		for _, b := range q.Things {
-			if x, y := s.Things[a], s.Things[b]; x != nil && y != nil && x.Hall == y.Hall {
+	for _, a := range p.Subjects {
+		for _, b := range q.Subjects {
+			if x, y := s.Subjects[a], s.Subjects[b]; x != nil && y != nil && x.Hall == y.Hall {
 				return true
 			}
 		}
@@ -184,17 +190,17 @@
 	return false
 }
 
-// fleetFits is Fits by the limits of the whole fleet alone.
-func (s *State) fleetFits(things []Thing) error {
+// checkFleetLimits is CheckLimits without the limits of halls and of capacity.
+func (s *State) checkFleetLimits(subjects []Subject) error {
 	o := *s
 	o.Limits.GatewaysHall, o.Limits.WorkersHall, o.Limits.GatewayCalls, o.Limits.WorkerCalls = Limit{}, Limit{}, 0, 0
-	return o.Fits(things, Measure{})
+	return o.CheckLimits(subjects, Measurements{})
 }
 
-// waiting are the permits that wait, in their order.
+// waiting returns the permits that wait to be granted, in the order of the requests.
 func (s *State) waiting() (out []*Permit) {
 	for _, p := range s.Permits {
-		if p.Phase == Asked {
+		if p.Phase == Requested {
 			out = append(out, p)
 		}
 	}
--- a/internal/fleet/change/release.go
+++ b/internal/fleet/change/release.go
@@ -6,83 +6,87 @@
 	"slices"
 )
 
-// What a release changes.
+// The values of Release.What, which states what a release changes.
 const (
 	Version = "version"
 	Config  = "config"
-	Workers = "workers" // each is started anew
+	Workers = "workers" // every worker is restarted; there is no target value
 )
 
-// Course is how far a release has come.
-type Course uint8
+// ReleaseStatus is the progress of a release.
+type ReleaseStatus uint8
 
-// The courses of a release.
+// The statuses of a release.
 const (
-	Running Course = iota
-	Halted         // it stands still where it is
+	Running ReleaseStatus = iota
+	Halted                // no further step begins until an operator continues it or it is rolled back
 	Done
-	Undone // what it had changed stands where it stood before
+	RolledBack // every subject that it had changed is at its former value again
 )
 
-func (c Course) String() string {
-	return [...]string{"running", "halted", "done", "taken back"}[min(c, Undone)]
+func (c ReleaseStatus) String() string {
+	return [...]string{"running", "halted", "done", "taken back"}[min(c, RolledBack)]
 }
 
-// Release is a stated change that goes over the fleet in batches.
+// Release is a declared change that is rolled out over the fleet in batches. The tags keep the field names of earlier versions
+// on disk and between gateways.
 type Release struct {
 	ID            uint64
 	Name, By, Why string
 	What, To      string
-	Batches       [][]Thing        `json:"Waves" msgpack:"Waves"` // the names that versions before gave them stay on disk and between gateways
-	From          map[Thing]string // what each stood at when the release was stated
-	Touched       map[Thing]bool   // those for which a step was begun: they may have been changed
-	Batch         int              `json:"Wave" msgpack:"Wave"` // that is under way
-	Backward      bool
-	Course        Course
-	Reason        string // why it stands still
-	Stood         int64  // since when all of the batch stand at what is wanted, Unix ms; 0: they don't
-	Begun         int64
-	Word          int64 // when it was last told to go on or back, Unix ms: what was lost before is known
+	Batches       [][]Subject        `json:"Waves" msgpack:"Waves"`
+	From          map[Subject]string // the value of each subject when the release began
+	Touched       map[Subject]bool   // subjects whose step has begun and which may therefore have been changed
+	Batch         int                `json:"Wave" msgpack:"Wave"` // index of the current batch
+	Backward      bool               // it is being rolled back, or was
+	Status        ReleaseStatus      `json:"Course" msgpack:"Course"`
+	Reason        string             // why it was halted or rolled back
+	ReachedAt     int64              `json:"Stood" msgpack:"Stood"` // when the whole batch had reached its target, Unix ms; 0: not yet
+	Begun         int64              // Unix ms
+	// ResumedAt is when the release was last continued or rolled back, Unix ms. Gateways lost before were known then and don't
+	// halt it again.
+	ResumedAt int64 `json:"Word" msgpack:"Word"`
 
-	ProveMs, MostMs int64   // a batch proves itself for so long, and at most for so long where calls are few
-	StepMs          int64   // a step that takes longer halts the release
-	Alpha           float64 // chance of a halt without a cause, over the whole release
-	Worse           float64 // failures may be so many times as frequent as at those not changed
-	Slower          float64 // and slow answers
-	TakeBack        bool    // once halted by itself it is taken back by itself
-	Freeze          string  // when a period begins: halt, back, or refuse to begin
+	VerifyMs        int64   `json:"ProveMs" msgpack:"ProveMs"` // a batch stays under observation at least this long
+	MaxVerifyMs     int64   `json:"MostMs" msgpack:"MostMs"`   // and at most this long, where calls are few
+	StepTimeoutMs   int64   `json:"StepMs" msgpack:"StepMs"`   // a step that takes longer halts the release
+	Alpha           float64 // probability of a halt without a cause, over the whole release
+	MaxFailureRatio float64 `json:"Worse" msgpack:"Worse"`       // changed gateways may fail calls this many times as often as others
+	MaxSlowRatio    float64 `json:"Slower" msgpack:"Slower"`     // and answer slowly this many times as often
+	AutoRollback    bool    `json:"TakeBack" msgpack:"TakeBack"` // an automatic halt is followed by an automatic rollback
+	OnFreeze        string  `json:"Freeze" msgpack:"Freeze"`     // what happens when a freeze period begins
 }
 
-// What becomes of a release when a period of a freeze begins.
+// The values of Release.OnFreeze, which states what happens when a freeze period begins.
 const (
-	FreezeHalts   = "halt"
-	FreezeBack    = "back"
-	FreezeRefuses = "refuse" // it may not begin unless it can end before
+	FreezeHalts     = "halt"
+	FreezeRollsBack = "back"
+	FreezeRefuses   = "refuse" // the release may begin only if it can end before the period
 )
 
-const maxReleases = 16 // that are remembered
+const maxReleases = 16 // releases that State retains
 
-// Check fills in what was left out, and reports what is wrong with a release.
+// Check sets the defaults of omitted fields, and returns an error if a field is invalid.
 func (r *Release) Check() error {
 	def := func(x *int64, d int64) {
 		if *x == 0 {
 			*x = d
 		}
 	}
-	def(&r.ProveMs, 60_000)
-	def(&r.MostMs, 5*r.ProveMs)
-	def(&r.StepMs, 60_000)
+	def(&r.VerifyMs, 60_000)
+	def(&r.MaxVerifyMs, 5*r.VerifyMs)
+	def(&r.StepTimeoutMs, 60_000)
 	if r.Alpha == 0 {
 		r.Alpha = 0.01
 	}
-	if r.Worse == 0 {
-		r.Worse = 1.25
+	if r.MaxFailureRatio == 0 {
+		r.MaxFailureRatio = 1.25
 	}
-	if r.Slower == 0 {
-		r.Slower = 1.1
+	if r.MaxSlowRatio == 0 {
+		r.MaxSlowRatio = 1.1
 	}
-	if r.Freeze == "" {
-		r.Freeze = FreezeHalts
+	if r.OnFreeze == "" {
+		r.OnFreeze = FreezeHalts
 	}
 	switch {
 	case r.Name == "" || len(r.Name) > 64 || r.By == "":
@@ -91,27 +95,28 @@
 		return fmt.Errorf("a release is of a %s, a %s or of %s, not of %q", Version, Config, Workers, r.What)
 	case r.What != Workers && (r.To == "" || len(r.To) > 128):
 		return fmt.Errorf("a release of a %s says to which", r.What)
-	case r.ProveMs < 0 || r.MostMs < r.ProveMs || r.StepMs < 1 || r.ProveMs > 86_400_000:
-		return fmt.Errorf("a release proves itself for %d to %d ms and gives a step %d ms", r.ProveMs, r.MostMs, r.StepMs)
-	case !(r.Alpha > 0 && r.Alpha < 0.5) || !(r.Worse >= 1) || !(r.Slower >= 1):
-		return fmt.Errorf("a release's alpha is %v (above 0, under 0.5), worse %v, slower %v (1 or more)", r.Alpha, r.Worse, r.Slower)
-	case r.Freeze != FreezeHalts && r.Freeze != FreezeBack && r.Freeze != FreezeRefuses:
-		return fmt.Errorf("when a freeze begins a release does %s, %s or %s, not %q", FreezeHalts, FreezeBack, FreezeRefuses, r.Freeze)
+	case r.VerifyMs < 0 || r.MaxVerifyMs < r.VerifyMs || r.StepTimeoutMs < 1 || r.VerifyMs > 86_400_000:
+		return fmt.Errorf("a release proves itself for %d to %d ms and gives a step %d ms", r.VerifyMs, r.MaxVerifyMs, r.StepTimeoutMs)
+	case !(r.Alpha > 0 && r.Alpha < 0.5) || !(r.MaxFailureRatio >= 1) || !(r.MaxSlowRatio >= 1):
+		return fmt.Errorf("a release's alpha is %v (above 0, under 0.5), worse %v, slower %v (1 or more)", r.Alpha, r.MaxFailureRatio,
+			r.MaxSlowRatio)
+	case r.OnFreeze != FreezeHalts && r.OnFreeze != FreezeRollsBack && r.OnFreeze != FreezeRefuses:
+		return fmt.Errorf("when a freeze begins a release does %s, %s or %s, not %q", FreezeHalts, FreezeRollsBack, FreezeRefuses, r.OnFreeze)
 	}
 	return nil
 }
 
-// Current is the release that has not ended, nil if none.
+// Current returns the release that has not ended, nil if there is none.
 func (s *State) Current() *Release {
 	for _, r := range s.Releases {
-		if r.Course < Done {
+		if r.Status < Done {
 			return r
 		}
 	}
 	return nil
 }
 
-// Release returns the one that has an ID or a name, nil if there is none.
+// Release returns the latest release whose ID or name is id, nil if there is none.
 func (s *State) Release(id string) *Release {
 	for i := len(s.Releases) - 1; i >= 0; i-- {
 		if r := s.Releases[i]; r.Name == id || fmt.Sprint(r.ID) == id {
@@ -121,42 +126,43 @@
 	return nil
 }
 
-// Begin states a release. Its batches are one gateway, then a part of that one's hall, then the rest of it, then hall by hall.
+// Begin starts a release. The first batch is one gateway or worker, the second a third of its hall, the third the remainder of
+// that hall; every other hall is one further batch.
 func (s *State) Begin(c Context, r *Release) error {
 	if err := r.Check(); err != nil {
 		return err
 	}
 	if o := s.Current(); o != nil {
-		return fmt.Errorf("release %s is %s: one at a time", o.Name, o.Course)
+		return fmt.Errorf("release %s is %s: one at a time", o.Name, o.Status)
 	}
-	r.ID, r.Begun, r.Course, r.Backward, r.Batch, r.Stood = c.Index, c.At, Running, false, 0, 0
-	r.From, r.Touched = map[Thing]string{}, map[Thing]bool{}
+	r.ID, r.Begun, r.Status, r.Backward, r.Batch, r.ReachedAt = c.Index, c.At, Running, false, 0, 0
+	r.From, r.Touched = map[Subject]string{}, map[Subject]bool{}
 	kind := Gateway
 	if r.What == Workers {
 		kind = Worker
 	}
-	halls := map[string][]Thing{}
-	for _, t := range slices.Sorted(maps.Keys(s.Things)) {
-		if k := s.Things[t]; t.Kind() == kind && k.at(r.What) != r.To {
-			r.From[t] = k.at(r.What)
+	halls := map[string][]Subject{}
+	for _, t := range slices.Sorted(maps.Keys(s.Subjects)) {
+		if k := s.Subjects[t]; t.Kind() == kind && k.current(r.What) != r.To {
+			r.From[t] = k.current(r.What)
 			halls[k.Hall] = append(halls[k.Hall], t)
 		}
 	}
 	if len(r.From) == 0 {
 		return fmt.Errorf("nothing is left to change: all stand at %s", r.To)
 	}
-	if len(r.From) > maxThings {
-		return fmt.Errorf("a release over %d things, %d at most", len(r.From), maxThings)
+	if len(r.From) > maxSubjects {
+		return fmt.Errorf("a release over %d things, %d at most", len(r.From), maxSubjects)
 	}
-	r.Batches = batches(halls)
+	r.Batches = makeBatches(halls)
 	if s.Releases = append(s.Releases, r); len(s.Releases) > maxReleases {
 		s.Releases = s.Releases[1:]
 	}
 	return nil
 }
 
-// batches orders the things of halls.
-func batches(halls map[string][]Thing) (out [][]Thing) {
+// makeBatches divides the subjects of each hall into batches, halls in alphabetical order.
+func makeBatches(halls map[string][]Subject) (out [][]Subject) {
 	for i, h := range slices.Sorted(maps.Keys(halls)) {
 		all := halls[h]
 		if i > 0 {
@@ -164,7 +170,7 @@
 			continue
 		}
 		part := max(1, len(all)/3)
-		for _, w := range [][]Thing{all[:1], all[1:min(len(all), 1+part)], all[min(len(all), 1+part):]} {
+		for _, w := range [][]Subject{all[:1], all[1:min(len(all), 1+part)], all[min(len(all), 1+part):]} {
 			if len(w) > 0 {
 				out = append(out, w)
 			}
@@ -173,13 +179,13 @@
 	return out
 }
 
-// at is what a thing stands at, of what a release changes.
-func (k *Known) at(what string) string {
+// current returns the subject's value of what a release changes. For a release of Workers it is the incarnation.
+func (k *SubjectStatus) current(what string) string {
 	switch what {
 	case Version:
 		return k.Version
 	case Config:
 		return k.Config
 	}
-	return fmt.Sprint(k.Life)
+	return fmt.Sprint(k.Incarnation)
 }
--- a/internal/fleet/change/simulation/gateway.go
+++ b/internal/fleet/change/simulation/gateway.go
@@ -7,123 +7,127 @@
 	"quillrail/internal/fleet/change"
 )
 
-// report and beat are what gateways tell each other besides entries, in the form of package agreement.
+// report and heartbeat are the messages between gateways other than entries. They have the encoded fields of package agreement, so
+// that their sizes are realistic.
 type (
 	report struct {
 		Name, Hall, Version, Config string
-		Life, ID                    uint64
+		Incarnation                 uint64 `msgpack:"Life"`
+		ID                          uint64
 		Serving, Warm               bool
 		Load                        float64
 		Classes                     []change.Tally
 	}
-	beat struct {
+	heartbeat struct {
 		Index, Hash uint64
 		At          int64
 		Name        string
 	}
 )
 
+// gateway is a simulated gateway. Times are in simulated ms.
 type gateway struct {
-	thing     change.Thing
-	hall      string
-	version   string
-	life      uint64
-	upAt      int64 // 0: up
-	next      string
-	nextAt    int64
-	bad, slow float64 // its own way
-	counts    change.Counts
-	shown     change.Counts // as of the last report
+	subject                      change.Subject
+	hall                         string
+	version                      string
+	incarnation                  uint64
+	restartEndsAt                int64 // 0: the gateway is up
+	nextVersion                  string
+	restartAt                    int64   // 0: no restart is scheduled
+	failureFactor, latencyFactor float64 // by how much its failure rate and latency differ from the base values
+	counts                       change.Counts
+	reported                     change.Counts // as of the last report
 }
 
-// supervise restarts what the log wants restarted, as the gateways' supervisors do.
-func (p *play) supervise() {
-	for _, g := range p.all {
-		q := p.s.PermitOf(g.thing)
+// superviseRestarts uses granted permits and restarts gateways that have a pending change, as the gateways and their supervisors do.
+func (s *simulator) superviseRestarts() {
+	for _, g := range s.gateways {
+		q := s.state.PermitOf(g.subject)
 		if q != nil && q.Phase == change.Granted && q.Holder != "" {
-			p.apply(change.Proposal{Kind: "use", Body: change.PermitBody{ID: q.ID, Holder: g.thing.Name(), Life: g.life}})
+			s.apply(change.Proposal{Kind: "use", Body: change.PermitBody{ID: q.ID, Holder: g.subject.Name(), Incarnation: g.incarnation}})
 		}
-		if what, to, _ := p.s.Wanted(g.thing.Name()); what != "" && to != g.version && g.nextAt == 0 {
-			g.next, g.nextAt = to, p.now+notice+p.rng.Int64N(500)
+		if what, to, _ := s.state.PendingChange(g.subject.Name()); what != "" && to != g.version && g.restartAt == 0 {
+			g.nextVersion, g.restartAt = to, s.now+supervisorDelayMs+s.rng.Int64N(500)
 		}
-		p.restart(g)
+		s.restart(g)
 	}
 }
 
-func (p *play) restart(g *gateway) {
-	if g.nextAt != 0 && p.now >= g.nextAt {
-		g.nextAt, g.version = 0, g.next
-		g.life++
-		g.counts = change.Counts{Life: g.life, Classes: make([]change.Tally, classes)}
-		g.upAt = p.now + down
-		if p.o.Fault == Crash && g.version == "v2" {
-			g.upAt = math.MaxInt64
+func (s *simulator) restart(g *gateway) {
+	if g.restartAt != 0 && s.now >= g.restartAt {
+		g.restartAt, g.version = 0, g.nextVersion
+		g.incarnation++
+		g.counts = change.Counts{Incarnation: g.incarnation, Classes: make([]change.Tally, classCount)}
+		g.restartEndsAt = s.now + restartMs
+		if s.options.Fault == Crash && g.version == "v2" {
+			g.restartEndsAt = math.MaxInt64
 		}
 	}
-	if g.upAt != 0 && p.now >= g.upAt {
-		g.upAt = 0
+	if g.restartEndsAt != 0 && s.now >= g.restartEndsAt {
+		g.restartEndsAt = 0
 	}
 }
 
-// baseline has all gateways changed at once, or in batches of a tenth each 30 s, by time alone.
-func (p *play) baseline() {
-	for i, g := range p.all {
-		g.next, g.nextAt = "v2", p.now+tick
-		if p.o.Way == ByTime {
-			g.nextAt += int64(10*i/len(p.all)) * 30_000
+// scheduleBaseline schedules the restarts of the baseline strategies: all at once, or a tenth of the gateways every 30 s.
+func (s *simulator) scheduleBaseline() {
+	for i, g := range s.gateways {
+		g.nextVersion, g.restartAt = "v2", s.now+tickMs
+		if s.options.Strategy == FixedBatches {
+			g.restartAt += int64(10*i/len(s.gateways)) * 30_000
 		}
 	}
 }
 
-// serve has a gateway take the calls of a tick.
-func (p *play) serve(g *gateway) {
-	if p.o.Way != Ours {
-		p.restart(g)
+// serve simulates the calls of one tick at a gateway.
+func (s *simulator) serve(g *gateway) {
+	if s.options.Strategy != Supervised {
+		s.restart(g)
 	}
-	fails, took := failBase*g.bad, g.slow
-	if p.o.BadHour && p.now > warmUp+20_000 && p.now < warmUp+60_000 {
-		fails, took = 10*fails, 1.5*took
+	baseRate, latency := baseFailureRate*g.failureFactor, g.latencyFactor
+	if s.options.SharedIncident && s.now > warmUpMs+20_000 && s.now < warmUpMs+60_000 {
+		baseRate, latency = 10*baseRate, 1.5*latency
 	}
-	for n := poisson(p.rng, p.o.PerSecond*tick/1000); n > 0; n-- {
-		class, x := 0, p.rng.Float64()
-		for x > shares[class] && class < classes-1 {
-			x -= shares[class]
+	for n := poisson(s.rng, s.options.CallsPerSecond*tickMs/1000); n > 0; n-- {
+		class, x := 0, s.rng.Float64()
+		for x > classShares[class] && class < classCount-1 {
+			x -= classShares[class]
 			class++
 		}
 		t := &g.counts.Classes[class]
-		p.asked++
-		if g.upAt != 0 {
-			p.lost++
+		s.calls++
+		if g.restartEndsAt != 0 {
+			s.lostCalls++
 			continue
 		}
-		f, ms := fails, took*median*math.Exp(sigma*p.rng.NormFloat64())
+		failureRate, ms := baseRate, latency*medianMs*math.Exp(sigma*s.rng.NormFloat64())
 		if g.version == "v2" {
-			switch p.o.Fault {
-			case Fails:
+			switch s.options.Fault {
+			case OneClassFails:
 				if class == 1 {
-					f += 0.05
+					failureRate += 0.05
 				}
-			case Slow:
-				if p.rng.Float64() < 0.03 { // so that the 99th percentile is twice what it was
-					ms = took * median * math.Exp(sigma*2.33) * 2 * (1 + 0.2*p.rng.Float64())
+			case SlowTail:
+				if s.rng.Float64() < 0.03 { // so many calls that the 99th percentile doubles
+					ms = latency * medianMs * math.Exp(sigma*2.33) * 2 * (1 + 0.2*s.rng.Float64())
 				}
-			case Tenth:
+			case TenPercentSlower:
 				ms *= 1.1
 			}
 		}
-		if p.rng.Float64() < f {
+		if s.rng.Float64() < failureRate {
 			t.Failed++
-			p.lost++
+			s.lostCalls++
 			continue
 		}
 		t.Served++
-		t.Took[change.Bucket(ms)]++
-		if ms > aim {
-			p.lost++
+		t.Latency[change.Bucket(ms)]++
+		if ms > deadlineMs {
+			s.lostCalls++
 		}
 	}
 }
 
+// poisson returns a random number with a Poisson distribution.
 func poisson(rng *rand.Rand, mean float64) (n int) {
 	for l := rng.ExpFloat64(); l < mean; l += rng.ExpFloat64() {
 		n++
--- a/internal/fleet/change/simulation/simulation.go
+++ b/internal/fleet/change/simulation/simulation.go
@@ -1,6 +1,6 @@
-// Package simulation plays releases and drains over fleets of a size that no machine has sockets for, on a clock of its own:
-// the permits, batches, comparisons and limits are those of package change; gateways, their calls and those who restart them
-// are a few lines each. Same seed, same play.
+// Package simulation simulates releases over fleets that are too large to run on one machine, for which it has not enough sockets.
+// It has a simulated clock. Permits, batches, comparisons and limits are those of package change; gateways, their calls and their
+// supervisors are simple models. Runs with the same seed and options are identical.
 package simulation
 
 import (
@@ -14,232 +14,236 @@
 	"quillrail/internal/fleet/change"
 )
 
-// Fault is what is wrong with a new version.
+// Fault is a fault of the new version.
 type Fault string
 
 // The faults.
 const (
-	None  Fault = ""
-	Crash Fault = "crash" // it ends as soon as it starts
-	Fails Fault = "fails" // one class fails for 5 % of its calls
-	Slow  Fault = "slow"  // the slowest hundredth takes twice as long
-	Tenth Fault = "tenth" // every call takes a tenth longer
+	NoFault          Fault = ""
+	Crash            Fault = "crash" // the process ends as soon as it has started
+	OneClassFails    Fault = "fails" // 5 % of the calls of one class fail
+	SlowTail         Fault = "slow"  // the slowest 1 % of the calls take twice as long
+	TenPercentSlower Fault = "tenth" // every call takes 10 % longer
 )
 
-// Way is how a release goes over the fleet.
-type Way string
+// Strategy is how a release is rolled out over the fleet.
+type Strategy string
 
-// The ways: ours, and the baselines.
+// The strategies: Supervised is that of package change, the others are baselines to compare it with.
 const (
-	Ours      Way = "ours"
-	AllAtOnce Way = "all at once"
-	ByTime    Way = "fixed batches"
+	Supervised   Strategy = "ours"
+	AllAtOnce    Strategy = "all at once"
+	FixedBatches Strategy = "fixed batches"
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
 	Seed            uint64
 	Gateways, Halls int
-	PerSecond       float64 // calls of a gateway
+	CallsPerSecond  float64 // at each gateway
 	Fault           Fault
-	BadHour         bool // a spell in which everything fails ten times as often and takes half as long again
-	Uneven          bool // gateways differ in how often their calls fail and how long they take
-	Way             Way
+	SharedIncident  bool // for 40 s calls at all gateways fail 10 times as often and take 1.5 times as long
+	UnevenGateways  bool // gateways differ in how often their calls fail and how long they take
+	Strategy        Strategy
 	Release         change.Release
 	Limits          change.Limits
-	Length          int64 // ms at most
+	MaxMs           int64 // simulated time after which the run ends, with the warm-up
 }
 
-// Result is what came of it.
+// Result holds the outcome and the costs of a run. Times are simulated.
 type Result struct {
-	Halted    string  // why, "" if it went through
-	Reached   float64 // part of the fleet that had the new version at the most
-	Took      int64   // ms from the statement to the halt or the end
-	BackTook  int64   // ms from the halt until all stood at the former version, 0 without a way back
-	LostCalls float64 // calls that were not served in time
-	Lost      float64 // part of the worth asked for meanwhile that was not served in time
-	Length    int64   // ms from the statement to the end of the play
-	MostOut   int
-	Entries   int     // in the log
-	Bytes     float64 // told by and to a gateway, in all
-	Messages  float64
-	Completed bool
+	HaltReason     string  // why the release was halted, "" if it completed
+	MaxReached     float64 // largest fraction of the fleet that had the new version at one time
+	HaltOrEndMs    int64   // from the beginning of the release to its halt or end
+	RollbackMs     int64   // from the halt until all gateways had the former version again, 0: no rollback
+	LostCalls      float64 // calls that were not served within their deadline
+	LostFraction   float64 // LostCalls as a fraction of all calls since the release began
+	LengthMs       int64   // from the beginning of the release to the end of the run
+	MaxUnavailable int     // largest number of gateways that were down at one time
+	Entries        int     // applied log entries
+	Bytes          float64 // of messages, per gateway
+	Messages       float64 // per gateway
+	Completed      bool
 }
 
 const (
-	tick     = 100
-	classes  = 3
-	aim      = 200.0 // ms, in which an answer is worth something
-	failBase = 0.004
-	median   = 40.0
-	sigma    = 0.6
-	down     = 400 // ms that a restart takes
-	notice   = 700 // ms until a supervisor acts
+	tickMs            = 100
+	classCount        = 3
+	deadlineMs        = 200.0 // a later answer counts as lost
+	baseFailureRate   = 0.004
+	medianMs          = 40.0 // latency of calls is log-normal with this median
+	sigma             = 0.6  // and this standard deviation of its logarithm
+	restartMs         = 400  // duration of a restart
+	supervisorDelayMs = 700  // least delay before a supervisor restarts a gateway
 )
 
-var shares = [classes]float64{0.55, 0.35, 0.10}
+var classShares = [classCount]float64{0.55, 0.35, 0.10}
 
-// Play plays a release.
-func Play(o Options) Result {
+// Run simulates one release.
+func Run(o Options) Result {
 	rng := rand.New(rand.NewPCG(o.Seed, 7))
-	var all []*gateway
-	s := change.NewState(o.Limits)
-	var seen []change.Seen
+	var gateways []*gateway
+	state := change.NewState(o.Limits)
+	var updates []change.StatusUpdate
 	for i := range o.Gateways {
-		g := &gateway{thing: change.Of(change.Gateway, fmt.Sprintf("g%03d", i)), hall: fmt.Sprint("hall", i%o.Halls), version: "v1", life: 1, bad: 1, slow: 1}
-		if o.Uneven {
-			g.bad, g.slow = math.Exp(0.3*rng.NormFloat64()), math.Exp(0.05*rng.NormFloat64())
+		g := &gateway{subject: change.NewSubject(change.Gateway, fmt.Sprintf("g%03d", i)), hall: fmt.Sprint("hall", i%o.Halls), version: "v1",
+			incarnation: 1, failureFactor: 1, latencyFactor: 1}
+		if o.UnevenGateways {
+			g.failureFactor, g.latencyFactor = math.Exp(0.3*rng.NormFloat64()), math.Exp(0.05*rng.NormFloat64())
 		}
-		g.counts = change.Counts{Life: 1, Classes: make([]change.Tally, classes)}
-		g.shown = copied(g.counts)
-		all = append(all, g)
-		seen = append(seen, change.Seen{Thing: g.thing, Known: change.Known{Hall: g.hall, Health: change.Well, Life: 1, Version: "v1"}, Witnesses: []string{"x", "y"}})
+		g.counts = change.Counts{Incarnation: 1, Classes: make([]change.Tally, classCount)}
+		g.reported = copyCounts(g.counts)
+		gateways = append(gateways, g)
+		updates = append(updates, change.StatusUpdate{Subject: g.subject, SubjectStatus: change.SubjectStatus{Hall: g.hall,
+			Health: change.Healthy, Incarnation: 1, Version: "v1"}, Witnesses: []string{"x", "y"}})
 	}
-	s.See(change.Context{Index: 1, At: 1}, seen)
-	d := change.NewDriver()
-	p := &play{o: o, rng: rng, all: all, s: s, d: d, index: 1}
-	for p.now = tick; p.now <= o.Length; p.now += tick {
-		if p.step() {
+	state.UpdateStatuses(change.Context{Index: 1, At: 1}, updates)
+	driver := change.NewDriver()
+	s := &simulator{options: o, rng: rng, gateways: gateways, state: state, driver: driver, index: 1}
+	for s.now = tickMs; s.now <= o.MaxMs; s.now += tickMs {
+		if s.step() {
 			break
 		}
 	}
-	return p.result()
+	return s.finalResult()
 }
 
-type play struct {
-	o       Options
-	rng     *rand.Rand
-	all     []*gateway
-	s       *change.State
-	d       *change.Driver
-	now     int64
-	index   uint64
-	release *change.Release
-	res     Result
-	asked   float64
-	lost    float64
-	haltAt  int64
-	bytes   float64
-	msgs    float64
+type simulator struct {
+	options   Options
+	rng       *rand.Rand
+	gateways  []*gateway
+	state     *change.State
+	driver    *change.Driver
+	now       int64  // simulated time, ms
+	index     uint64 // of the last entry
+	release   *change.Release
+	res       Result
+	calls     float64 // since the release began
+	lostCalls float64 // since the release began
+	haltedAt  int64   // 0: not halted or ended
+	bytes     float64 // of all messages
+	messages  float64
 }
 
-const reportMs = 500
+const reportEveryMs = 500
 
-// WarmUp is how long a fleet is played before the release is stated.
-const WarmUp = warmUp * time.Millisecond
+// WarmUp is how long a fleet is simulated before the release begins.
+const WarmUp = warmUpMs * time.Millisecond
 
-const warmUp = 60_000
+const warmUpMs = 60_000
 
-func copied(c change.Counts) change.Counts {
-	return change.Counts{Life: c.Life, Classes: append([]change.Tally(nil), c.Classes...)}
+func copyCounts(c change.Counts) change.Counts {
+	return change.Counts{Incarnation: c.Incarnation, Classes: append([]change.Tally(nil), c.Classes...)}
 }
 
-// step plays a tick, and reports whether the play is over.
-func (p *play) step() bool {
-	for _, g := range p.all {
-		p.serve(g)
+// step simulates one tick, and reports whether the run is over.
+func (s *simulator) step() bool {
+	for _, g := range s.gateways {
+		s.serve(g)
 	}
-	if p.now == warmUp {
-		r := p.o.Release
-		p.release = &r
-		switch p.o.Way {
-		case Ours:
-			p.apply(change.Proposal{Kind: "begin", Body: &r})
+	if s.now == warmUpMs {
+		r := s.options.Release
+		s.release = &r
+		switch s.options.Strategy {
+		case Supervised:
+			s.apply(change.Proposal{Kind: "begin", Body: &r})
 		default:
-			p.baseline()
+			s.scheduleBaseline()
 		}
 	}
-	if p.now%reportMs == 0 {
-		for _, g := range p.all {
-			g.shown = copied(g.counts)
-			p.tell(report{Name: g.thing.Name(), Hall: g.hall, Version: g.version, Life: g.life, Serving: true, Warm: true, Load: p.o.PerSecond,
-				Classes: g.shown.Classes}, 2) // to the voter that it follows, and on to who leads
-			p.tell(beat{Index: p.index, Hash: 1 << 62, At: p.now, Name: "leader"}, 1)
+	if s.now%reportEveryMs == 0 {
+		for _, g := range s.gateways {
+			g.reported = copyCounts(g.counts)
+			s.countMessage(report{Name: g.subject.Name(), Hall: g.hall, Version: g.version, Incarnation: g.incarnation, Serving: true,
+				Warm: true, Load: s.options.CallsPerSecond,
+				Classes: g.reported.Classes}, 2) // to the voter that the gateway follows, which sends it on to the leader
+			s.countMessage(heartbeat{Index: s.index, Hash: 1 << 62, At: s.now, Name: "leader"}, 1)
 		}
 	}
-	if p.o.Way == Ours {
-		for _, x := range p.d.Drive(p.s, p.view()) {
-			p.apply(x)
+	if s.options.Strategy == Supervised {
+		for _, x := range s.driver.Drive(s.state, s.view()) {
+			s.apply(x)
 		}
-		p.supervise()
+		s.superviseRestarts()
 	}
-	return p.judge()
+	return s.updateResult()
 }
 
-// tell counts what a message costs, told so often.
-func (p *play) tell(v any, times int) {
+// countMessage adds a message that is sent the given number of times to the costs.
+func (s *simulator) countMessage(v any, times int) {
 	b, _ := msgpack.Marshal(v)
-	p.bytes += float64(len(b) * times)
-	p.msgs += float64(times)
+	s.bytes += float64(len(b) * times)
+	s.messages += float64(times)
 }
 
-func (p *play) view() *change.View {
-	v := &change.View{Context: change.Context{Index: p.index, At: p.now}, Self: "leader", Things: map[change.Thing]change.Observation{},
-		Samples: map[string]change.Sample{}, Classes: classes}
-	for _, g := range p.all {
-		v.Load += p.o.PerSecond
-		h := change.Well
-		if g.upAt != 0 {
-			h = change.Out
+func (s *simulator) view() *change.View {
+	v := &change.View{Context: change.Context{Index: s.index, At: s.now}, Self: "leader", Subjects: map[change.Subject]change.Observation{},
+		Samples: map[string]change.Sample{}, Classes: classCount}
+	for _, g := range s.gateways {
+		v.Load += s.options.CallsPerSecond
+		h := change.Healthy
+		if g.restartEndsAt != 0 {
+			h = change.Unavailable
 		}
-		v.Things[g.thing] = change.Observation{Hall: g.hall, Health: h, Life: g.life, Version: g.version, Witnesses: []string{"x", "y"}}
-		v.Samples[g.thing.Name()] = change.Sample{Hall: g.hall, Counts: g.shown}
+		v.Subjects[g.subject] = change.Observation{Hall: g.hall, Health: h, Incarnation: g.incarnation, Version: g.version,
+			Witnesses: []string{"x", "y"}}
+		v.Samples[g.subject.Name()] = change.Sample{Hall: g.hall, Counts: g.reported}
 	}
 	return v
 }
 
-// apply applies an entry, which goes to every gateway.
-func (p *play) apply(x change.Proposal) {
-	p.index++
-	c := change.Context{Index: p.index, At: p.now}
-	if change.Apply(p.s, c, "leader", 1, x) == nil {
-		p.res.Entries++
-		p.tell(x, len(p.all))
+// apply applies an entry, which is sent to every gateway.
+func (s *simulator) apply(x change.Proposal) {
+	s.index++
+	c := change.Context{Index: s.index, At: s.now}
+	if change.Apply(s.state, c, "leader", 1, x) == nil {
+		s.res.Entries++
+		s.countMessage(x, len(s.gateways))
 	}
 }
 
-// judge notes how far it has come, and reports whether the play is over.
-func (p *play) judge() bool {
-	out, have, old := 0, 0, 0
-	for _, g := range p.all {
-		if g.upAt != 0 {
-			out++
+// updateResult records the progress of the release, and reports whether the run is over.
+func (s *simulator) updateResult() bool {
+	unavailable, changed, unchanged := 0, 0, 0
+	for _, g := range s.gateways {
+		if g.restartEndsAt != 0 {
+			unavailable++
 		}
 		if g.version == "v2" {
-			have++
+			changed++
 		} else {
-			old++
+			unchanged++
 		}
 	}
-	p.res.MostOut = max(p.res.MostOut, out)
-	p.res.Reached = max(p.res.Reached, float64(have)/float64(len(p.all)))
-	if p.now < warmUp {
-		p.asked, p.lost = 0, 0
+	s.res.MaxUnavailable = max(s.res.MaxUnavailable, unavailable)
+	s.res.MaxReached = max(s.res.MaxReached, float64(changed)/float64(len(s.gateways)))
+	if s.now < warmUpMs {
+		s.calls, s.lostCalls = 0, 0
 		return false
 	}
-	if p.o.Way != Ours {
-		p.res.Took = p.now - warmUp
-		p.res.Completed = have == len(p.all)
-		return p.res.Completed && p.now-warmUp > 300_000
+	if s.options.Strategy != Supervised {
+		s.res.HaltOrEndMs = s.now - warmUpMs
+		s.res.Completed = changed == len(s.gateways)
+		return s.res.Completed && s.now-warmUpMs > 300_000
 	}
-	r := p.s.Releases[len(p.s.Releases)-1]
-	if p.haltAt == 0 && (r.Course != change.Running || r.Backward) {
-		p.haltAt, p.res.Took = p.now, p.now-warmUp
-		p.res.Halted, p.res.Completed = r.Reason, r.Course == change.Done
-		if p.res.Completed {
-			p.res.Halted = ""
+	r := s.state.Releases[len(s.state.Releases)-1]
+	if s.haltedAt == 0 && (r.Status != change.Running || r.Backward) {
+		s.haltedAt, s.res.HaltOrEndMs = s.now, s.now-warmUpMs
+		s.res.HaltReason, s.res.Completed = r.Reason, r.Status == change.Done
+		if s.res.Completed {
+			s.res.HaltReason = ""
 		}
 	}
-	if r.Course == change.Undone && old == len(p.all) && out == 0 {
-		p.res.BackTook = p.now - p.haltAt
+	if r.Status == change.RolledBack && unchanged == len(s.gateways) && unavailable == 0 {
+		s.res.RollbackMs = s.now - s.haltedAt
 		return true
 	}
-	return r.Course == change.Done || p.haltAt != 0 && !r.TakeBack
+	return r.Status == change.Done || s.haltedAt != 0 && !r.AutoRollback
 }
 
-func (p *play) result() Result {
-	p.res.LostCalls, p.res.Lost = p.lost, p.lost/max(1, p.asked)
-	p.res.Length = p.now - warmUp
-	p.res.Bytes, p.res.Messages = p.bytes/float64(len(p.all)), p.msgs/float64(len(p.all))
-	return p.res
+func (s *simulator) finalResult() Result {
+	s.res.LostCalls, s.res.LostFraction = s.lostCalls, s.lostCalls/max(1, s.calls)
+	s.res.LengthMs = s.now - warmUpMs
+	s.res.Bytes, s.res.Messages = s.bytes/float64(len(s.gateways)), s.messages/float64(len(s.gateways))
+	return s.res
 }
--- a/internal/fleet/change/steps.go
+++ b/internal/fleet/change/steps.go
@@ -4,80 +4,80 @@
 	"fmt"
 )
 
-// release are the steps of a release that are due. One loop serves both directions.
-func (d *Driver) release(s *State, r *Release, v *View) (out []Proposal) {
+// releaseSteps returns the entries by which a release moves on now, in either direction.
+func (d *Driver) releaseSteps(s *State, r *Release, v *View) (out []Proposal) {
 	halt := func(format string, a ...any) []Proposal {
-		return append(out, Proposal{"halt", HaltBody{r.ID, fmt.Sprintf(format, a...)}})
+		return append(out, Proposal{"halt", ReleaseBody{r.ID, fmt.Sprintf(format, a...)}})
 	}
-	if r.Course == Halted {
+	if r.Status == Halted {
 		return out
 	}
-	if reason := d.reasons(s, r, v); reason != "" {
+	if reason := d.haltReason(s, r, v); reason != "" {
 		out = halt("%s", reason)
-		if r.TakeBack && !r.Backward && v.Frozen == "" {
-			out = append(out, Proposal{"revert", HaltBody{r.ID, reason}})
+		if r.AutoRollback && !r.Backward && v.FreezePeriod == "" {
+			out = append(out, Proposal{"revert", ReleaseBody{r.ID, reason}})
 		}
 		return out
 	}
-	if !r.Backward && r.Freeze == FreezeBack && v.FreezeIn > 0 && v.FreezeIn < v.At-r.Begun+r.StepMs {
-		return append(out, Proposal{"revert", HaltBody{r.ID, "a freeze begins, and there is just time to go back"}})
+	if !r.Backward && r.OnFreeze == FreezeRollsBack && v.FreezeInMs > 0 && v.FreezeInMs < v.At-r.Begun+r.StepTimeoutMs {
+		return append(out, Proposal{"revert", ReleaseBody{r.ID, "a freeze begins, and there is just time to go back"}})
 	}
-	all := true
-	for _, t := range r.Steps() {
-		if s.Stands(r, t) {
+	reached := true
+	for _, t := range r.CurrentBatch() {
+		if s.AtTarget(r, t) {
 			continue
 		}
-		all = false
+		reached = false
 		if s.PermitOf(t) != nil {
 			continue
 		}
-		p := &Permit{Things: []Thing{t}, Release: r.ID, Why: "release " + r.Name}
-		down := v.Things[t].Health == Out
-		if t.Kind() == Gateway && !down {
+		p := &Permit{Subjects: []Subject{t}, Release: r.ID, Why: "release " + r.Name}
+		unavailable := v.Subjects[t].Health == Unavailable
+		if t.Kind() == Gateway && !unavailable {
 			p.Holder = t.Name()
 		}
-		if !down || r.Backward { // forwards, what is out is waited for; backwards it may be the change that has put it out
+		if !unavailable || r.Backward { // a rollback doesn't wait for unavailable subjects, as the change may be what made them so
 			out = append(out, Proposal{"ask", p})
 		}
 	}
 	switch {
-	case !all && r.Stood > 0: // something has fallen back since: it is seen to above
-	case all && r.Stood == 0:
-		out = append(out, Proposal{"stand", HaltBody{ID: r.ID}})
-	case all && (r.Backward || d.proven(r, v)):
-		out = append(out, Proposal{"next", HaltBody{ID: r.ID}})
+	case !reached && r.ReachedAt > 0: // a subject is no longer at its target; the loop above deals with it
+	case reached && r.ReachedAt == 0:
+		out = append(out, Proposal{"stand", ReleaseBody{ID: r.ID}})
+	case reached && (r.Backward || d.verified(r, v)):
+		out = append(out, Proposal{"next", ReleaseBody{ID: r.ID}})
 	}
 	return out
 }
 
-// reasons is why a release has to stand still, "" for none.
-func (d *Driver) reasons(s *State, r *Release, v *View) string {
-	if v.Lonely > lonelyMax {
-		return fmt.Sprintf("there was no majority for %.1f s", float64(v.Lonely)/1000)
+// haltReason returns why a release has to halt, "" if it need not.
+func (d *Driver) haltReason(s *State, r *Release, v *View) string {
+	if v.NoMajorityMs > maxNoMajorityMs {
+		return fmt.Sprintf("there was no majority for %.1f s", float64(v.NoMajorityMs)/1000)
 	}
-	if v.Frozen != "" && !(r.Backward && r.Freeze == FreezeBack) {
-		return "the freeze " + v.Frozen + " has begun"
+	if v.FreezePeriod != "" && !(r.Backward && r.OnFreeze == FreezeRollsBack) {
+		return "the freeze " + v.FreezePeriod + " has begun"
 	}
 	lost := 0
 	for t := range r.From {
-		if k := s.Things[t]; t.Kind() == Gateway && k != nil && k.Sudden >= max(r.Begun, r.Word, v.At-suddenFor) {
+		if k := s.Subjects[t]; t.Kind() == Gateway && k != nil && k.UnplannedStart >= max(r.Begun, r.ResumedAt, v.At-unplannedStartWindowMs) {
 			lost++
 		}
 	}
 	if lost > 1 && 2*lost > len(r.From) {
 		return fmt.Sprintf("%d of %d gateways have lost power, or were started anew by others", lost, len(r.From))
 	}
-	for _, t := range r.Steps() {
-		p, k := s.PermitOf(t), s.Things[t]
+	for _, t := range r.CurrentBatch() {
+		p, k := s.PermitOf(t), s.Subjects[t]
 		if k == nil {
 			continue
 		}
 		switch {
-		case p != nil && p.Release == r.ID && p.Phase >= Used && v.At-p.At > r.StepMs:
-			return fmt.Sprintf("%s did not come to %q in %d s", t.Name(), r.Target(t), r.StepMs/1000)
-		case p == nil && r.Touched[t] && !r.Backward && k.Health == Well && !s.Stands(r, t):
-			return fmt.Sprintf("%s came back at %q", t.Name(), k.at(r.What))
-		case p == nil && k.Health != Well && v.At-k.At > r.StepMs:
+		case p != nil && p.Release == r.ID && p.Phase >= InUse && v.At-p.At > r.StepTimeoutMs:
+			return fmt.Sprintf("%s did not come to %q in %d s", t.Name(), r.Target(t), r.StepTimeoutMs/1000)
+		case p == nil && r.Touched[t] && !r.Backward && k.Health == Healthy && !s.AtTarget(r, t):
+			return fmt.Sprintf("%s came back at %q", t.Name(), k.current(r.What))
+		case p == nil && k.Health != Healthy && v.At-k.At > r.StepTimeoutMs:
 			return fmt.Sprintf("%s is %s for %d s", t.Name(), k.Health, (v.At-k.At)/1000)
 		}
 	}
@@ -87,52 +87,53 @@
 	return d.compare(s, r, v)
 }
 
-// compare is what the judge says.
+// compare feeds the comparator and returns a reason to halt if the changed gateways do worse than the others, "" if not.
 func (d *Driver) compare(s *State, r *Release, v *View) string {
-	if d.judge == nil || d.of != r.ID {
-		d.judge = NewJudge(r.Alpha, r.Worse, r.Slower, v.Classes, d.usual)
-		d.of = r.ID
+	if d.comparator == nil || d.comparedRelease != r.ID {
+		d.comparator = NewComparator(r.Alpha, r.MaxFailureRatio, r.MaxSlowRatio, v.Classes, d.baseline)
+		d.comparedRelease = r.ID
 	}
-	if d.batch != r.Batch { // what is proven counts on, whoever else is changed
-		d.batch = r.Batch
-		d.judge.Again()
+	if d.comparedBatch != r.Batch { // the evidence is kept from batch to batch; only the calls are counted anew
+		d.comparedBatch = r.Batch
+		d.comparator.ResetChangedCalls()
 	}
-	if v.At-d.fed < feedEvery {
+	if v.At-d.comparedAt < compareEveryMs {
 		return ""
 	}
-	d.fed = v.At
+	d.comparedAt = v.At
 	all := map[string]Sample{}
 	for g, x := range v.Samples {
-		x.Changed, x.Planned = r.Touched[Of(Gateway, g)], s.PermitOf(Of(Gateway, g)) != nil
+		x.Changed, x.Planned = r.Touched[NewSubject(Gateway, g)], s.PermitOf(NewSubject(Gateway, g)) != nil
 		all[g] = x
 	}
-	d.judge.Feed(all)
-	if what := d.judge.Verdict(); what != "" {
+	d.comparator.Feed(all)
+	if what := d.comparator.Verdict(); what != "" {
 		return "those changed do worse than the others: " + what
 	}
 	return ""
 }
 
-// proven reports whether the batch has proved itself: for its time, and with enough calls of each class or for long.
-func (d *Driver) proven(r *Release, v *View) bool {
-	stood := v.At - r.Stood
-	if r.What == Workers || stood < r.ProveMs || d.judge == nil || d.batch != r.Batch {
-		return r.What == Workers && stood >= r.ProveMs
-	}
-	if stood >= r.MostMs {
+// verified reports whether the batch has been observed for VerifyMs and with enough calls of each class, or for MaxVerifyMs. For
+// workers the time alone counts.
+func (d *Driver) verified(r *Release, v *View) bool {
+	observed := v.At - r.ReachedAt
+	if r.What == Workers || observed < r.VerifyMs || d.comparator == nil || d.comparedBatch != r.Batch {
+		return r.What == Workers && observed >= r.VerifyMs
+	}
+	if observed >= r.MaxVerifyMs {
 		return true
 	}
 	for k := range v.Classes {
-		if d.judge.Seen(k) < enoughCalls {
+		if d.comparator.ChangedCalls(k) < enoughCalls {
 			return false
 		}
 	}
 	return true
 }
 
-// enoughCalls of each class are wanted of those changed before the next batch; a class that comes seldom is waited for for
-// the most that a batch may take.
+// enoughCalls is how many calls of each class the changed gateways must have finished before the next batch begins. For a class
+// with few calls the release waits for MaxVerifyMs at most.
 const enoughCalls = 100
 
-// suddenFor is how many ms an unplanned start counts towards a loss of power.
-const suddenFor = 60_000
+// unplannedStartWindowMs is how long an unplanned start counts as part of a common loss of power, in ms.
+const unplannedStartWindowMs = 60_000
--- a/internal/fleet/replog/kinds.go
+++ b/internal/fleet/replog/kinds.go
@@ -36,25 +36,25 @@
 }
 
 var kinds = map[string]kind{
-	"see": changeKind[change.SeeBody]("see"), "grant": changeKind[change.GrantBody]("grant"), "use": changeKind[change.PermitBody]("use"),
+	"see": changeKind[change.StatusUpdateBody]("see"), "grant": changeKind[change.GrantBody]("grant"), "use": changeKind[change.PermitBody]("use"),
 	"lapse": changeKind[change.PermitBody]("lapse"), "return": changeKind[change.PermitBody]("return"),
 	"end":   changeKind[change.PermitBody]("end"),
-	"stand": changeKind[change.HaltBody]("stand"), "next": changeKind[change.HaltBody]("next"), "halt": changeKind[change.HaltBody]("halt"),
+	"stand": changeKind[change.ReleaseBody]("stand"), "next": changeKind[change.ReleaseBody]("next"), "halt": changeKind[change.ReleaseBody]("halt"),
 	"ask": kindOf(func(s *State, c change.Context, e *Entry, p *change.Permit) error {
 		p.By = e.By
 		if k := freeze.Bans; e.By != "" && !p.Emergency &&
-			slices.ContainsFunc(p.Things, func(t change.Thing) bool { return t.Kind() == change.Worker }) {
-			if err := s.checkFreeze(k, s.hallsOf(p.Things), e); err != nil {
+			slices.ContainsFunc(p.Subjects, func(t change.Subject) bool { return t.Kind() == change.Worker }) {
+			if err := s.checkFreeze(k, s.hallsOf(p.Subjects), e); err != nil {
 				return err
 			}
 		}
-		return s.Change.Ask(c, p)
+		return s.Change.Request(c, p)
 	}),
 	"word": kindOf(func(s *State, c change.Context, e *Entry, b *change.PermitBody) error {
-		return s.Change.Word(c, b.ID, e.By)
+		return s.Change.EndByOperator(c, b.ID, e.By)
 	}),
 	"forget": kindOf(func(s *State, c change.Context, _ *Entry, b *NameBody) error {
-		return s.Change.See(c, []change.Seen{{Thing: change.Thing(b.Name), Forget: true}})
+		return s.Change.UpdateStatuses(c, []change.StatusUpdate{{Subject: change.Subject(b.Name), Forget: true}})
 	}),
 	"begin": kindOf(func(s *State, c change.Context, e *Entry, r *change.Release) error {
 		r.By = e.By
@@ -63,8 +63,8 @@
 		}
 		return s.endsBeforeFreeze(r)
 	}).forbiddenBy(freeze.Releases),
-	"continue": changeKind[change.HaltBody]("continue").forbiddenBy(freeze.Releases),
-	"revert": kindOf(func(s *State, c change.Context, e *Entry, b *change.HaltBody) error {
+	"continue": changeKind[change.ReleaseBody]("continue").forbiddenBy(freeze.Releases),
+	"revert": kindOf(func(s *State, c change.Context, e *Entry, b *change.ReleaseBody) error {
 		if e.By != "" {
 			if err := s.checkFreeze(freeze.Releases, nil, e); err != nil {
 				return err
@@ -91,7 +91,7 @@
 		return s.Freeze.Declare(p, s.Clock(), s.freezeNotice())
 	}),
 	"take": kindOf(func(s *State, _ change.Context, e *Entry, b *NameBody) error {
-		return s.checkFreeze(freeze.Config, s.hallsOf([]change.Thing{change.Of(change.Gateway, b.Name)}), e)
+		return s.checkFreeze(freeze.Config, s.hallsOf([]change.Subject{change.NewSubject(change.Gateway, b.Name)}), e)
 	}),
 	"spans": kindOf(func(s *State, _ change.Context, _ *Entry, b *SpansBody) error {
 		s.Freeze.RenewSpans(b.Name, b.Spans, s.Clock().At)
@@ -151,10 +151,10 @@
 // endsBeforeFreeze rejects a release that declares that no freeze may begin while it runs, if a freeze begins before the
 // release could end.
 func (s *State) endsBeforeFreeze(r *change.Release) error {
-	if r.Freeze != change.FreezeRefuses {
+	if r.OnFreeze != change.FreezeRefuses {
 		return nil
 	}
-	needed := time.Duration(int64(len(r.Batches))*r.ProveMs+int64(len(r.From))*usualStepMs) * time.Millisecond
+	needed := time.Duration(int64(len(r.Batches))*r.VerifyMs+int64(len(r.From))*usualStepMs) * time.Millisecond
 	for _, period := range s.Freeze.Periods {
 		if next, ok := period.NextStart(s.Clock().At); ok && period.Covers(freeze.Releases, nil) &&
 			next.Sub(s.Clock().At)-s.Clock().Bound < needed {
@@ -178,9 +178,9 @@
 }
 
 // hallsOf returns the halls of the given subjects, as far as they are known.
-func (s *State) hallsOf(subjects []change.Thing) (halls []string) {
+func (s *State) hallsOf(subjects []change.Subject) (halls []string) {
 	for _, t := range subjects {
-		if known := s.Change.Things[t]; known != nil {
+		if known := s.Change.Subjects[t]; known != nil {
 			halls = append(halls, known.Hall)
 		}
 	}
--- a/internal/fleet/replog/network_test.go
+++ b/internal/fleet/replog/network_test.go
@@ -52,7 +52,7 @@
 		initial = append(initial, Voter{ID: m.disk.ID, Name: m.name, Hall: fmt.Sprint("h", i)})
 	}
 	for _, m := range n.members {
-		w, err := Bootstrap(NewState(site.KnownNames{Halls: []string{"h0"}}, DefaultRules, change.Defaults), initial)
+		w, err := Bootstrap(NewState(site.KnownNames{Halls: []string{"h0"}}, DefaultRules, change.DefaultLimits), initial)
 		if err != nil {
 			panic(err)
 		}
@@ -202,8 +202,8 @@
 		return nil
 	}
 	n.seq++
-	body, err := msgpack.Marshal(&change.SeeBody{Seen: []change.Seen{{Thing: change.Of(change.Worker, fmt.Sprint("w", n.seq%20)),
-		Known: change.Known{Hall: "h0", Health: change.Cold, Life: n.seq}}}})
+	body, err := msgpack.Marshal(&change.StatusUpdateBody{Updates: []change.StatusUpdate{{Subject: change.NewSubject(change.Worker, fmt.Sprint("w", n.seq%20)),
+		SubjectStatus: change.SubjectStatus{Hall: "h0", Health: change.Cold, Incarnation: n.seq}}}})
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/replog/state.go
+++ b/internal/fleet/replog/state.go
@@ -90,7 +90,7 @@
 	if err := json.Unmarshal(b, s); err != nil {
 		return nil, fmt.Errorf("agree: state: %w", err)
 	}
-	if s.Change == nil || s.Freeze == nil || s.Site == nil || s.Proposers == nil || s.Change.Things == nil {
+	if s.Change == nil || s.Freeze == nil || s.Site == nil || s.Proposers == nil || s.Change.Subjects == nil {
 		return nil, fmt.Errorf("agree: a state without its parts")
 	}
 	return s, nil
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -75,7 +75,7 @@
 
 // Parse decodes the text of the file. The settings are checked only if the fleet is enabled.
 func Parse(text string) (*Settings, error) {
-	s := &Settings{FirstLoads: 16, BootID: "/proc/sys/kernel/random/boot_id", Agree: Agreement{ReplaceAfterS: 60}, Change: change.Defaults,
+	s := &Settings{FirstLoads: 16, BootID: "/proc/sys/kernel/random/boot_id", Agree: Agreement{ReplaceAfterS: 60}, Change: change.DefaultLimits,
 		Freeze: Freeze{ClockBoundMs: 500, AheadS: 60}, Site: Site{Session: "key", LostAfterS: 5}}
 	if err := settings.DecodeTOML(text, s); err != nil {
 		return nil, err
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -68,7 +68,7 @@
 func (h *hollow) begin() {
 	h.loop, h.over = core.NewLoop(lifeClock), make(chan struct{})
 	s := &fleet.Settings{Enabled: true, Fleet: "lab", Bind: net.JoinHostPort(h.host, h.run.port), Seeds: h.run.seeds, Dir: os.DevNull, FirstLoads: 16,
-		BootID: os.DevNull, Change: change.Defaults}
+		BootID: os.DevNull, Change: change.DefaultLimits}
 	h.node = fleet.New(h.loop, s, h.name, h.at.region, zap.NewNop())
 	h.node.UseNetwork(&view{h.run.network, h.host})
 	set := Site()
@@ -80,7 +80,7 @@
 	h.node.Add(func(host *fleet.Host) fleet.Part {
 		h.agent = agreement.New(host, idleAgent{}, agreement.Options{Name: h.name, Hall: halls()[h.at.region], Halls: halls(), Classes: []string{"read", "command", "once"},
 			Tenants: []string{"demo"}, InitialVoters: h.run.voters, TargetVoters: len(h.run.voters), ReplaceAfter: time.Minute, HallLostAfter: 5 * time.Second,
-			Limits: change.Defaults, Rules: replog.Rules{ClockBoundMs: 500, FreezeAheadMs: 60_000}, ColdFor: set.ColdFor, Session: "key",
+			Limits: change.DefaultLimits, Rules: replog.Rules{ClockBoundMs: 500, FreezeAheadMs: 60_000}, ColdFor: set.ColdFor, Session: "key",
 			Version: "v1", Config: "r1"})
 		return h.agent
 	})
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -76,7 +76,7 @@
 // hollow gateways, of which each looks every 100 ms.
 func (r *run) change() (t [3]float64, err error) {
 	r.changes++
-	limits := change.Defaults
+	limits := change.DefaultLimits
 	limits.Margin += float64(r.changes%7) / 1000
 	entry, failed := make(chan uint64, 1), make(chan error, 1)
 	begun := time.Now()
--- a/internal/lifecycle/agreement.go
+++ b/internal/lifecycle/agreement.go
@@ -216,4 +216,4 @@
 func (g *Gateway) requiresPermits() bool { return g.agreement != nil && g.conf.Fleet.Agree.Enabled }
 
 // self returns this gateway as the subject of a permit.
-func (g *Gateway) self() change.Thing { return change.Of(change.Gateway, g.conf.Name) }
+func (g *Gateway) self() change.Subject { return change.NewSubject(change.Gateway, g.conf.Name) }
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -37,12 +37,12 @@
 		if !g.requiresPermits() || call.Emergency {
 			err := a.Disable(call.ID)
 			if err == nil && call.Emergency {
-				g.agreement.ReportEmergency(change.Of(change.Worker, call.ID), "", requester(call), call.Options["why"])
+				g.agreement.ReportEmergency(change.NewSubject(change.Worker, call.ID), "", requester(call), call.Options["why"])
 			}
 			done("", err)
 			return
 		}
-		g.requestPermit(call, change.Of(change.Worker, call.ID), "", done)
+		g.requestPermit(call, change.NewSubject(change.Worker, call.ID), "", done)
 	case "enable-server":
 		a.enableServer(call, done)
 	case "drain":
@@ -75,7 +75,7 @@
 }
 
 // requestPermit requests a permit to take a worker or a gateway out of service.
-func (g *Gateway) requestPermit(call opfront.Call, subject change.Thing, holder string, done func(string, error)) {
+func (g *Gateway) requestPermit(call opfront.Call, subject change.Subject, holder string, done func(string, error)) {
 	if subject.Kind() == change.Worker && g.core != nil && !g.core.Listed(subject.Name()) {
 		done("", errors.New("no such worker"))
 		return
@@ -103,7 +103,7 @@
 func (a *operatorAPI) enableServer(call opfront.Call, done func(string, error)) {
 	g := (*Gateway)(a)
 	if g.requiresPermits() {
-		if p := g.agreement.PermitOf(change.Of(change.Worker, call.ID)); p != nil {
+		if p := g.agreement.PermitOf(change.NewSubject(change.Worker, call.ID)); p != nil {
 			g.agreement.ReturnPermit(p, requester(call), done)
 			return
 		}
--- a/tools/rollout/main.go
+++ b/tools/rollout/main.go
@@ -1,6 +1,6 @@
-// Command rollout plays releases over fleets of a size that no machine has sockets for, by the pure packages that decide about
-// them. It prints what a release costs by each way of going over a fleet, and prints, and draws as SVG, how long one takes, how
-// soon a harmful one is halted and what gateways tell each other, against the size of the fleet.
+// Command rollout simulates releases over fleets that are too large to run on one machine. It prints what a release costs with each
+// strategy. For fleets of several sizes it prints, and draws as SVG, how long a release takes, how soon a faulty one is halted, and
+// how many messages the gateways exchange.
 package main
 
 import (
@@ -18,68 +18,74 @@
 )
 
 func options(gateways int, seed uint64) simulation.Options {
-	l := change.Defaults
-	l.Gateways, l.GatewaysHall = change.Limit{Part: 0.1}, change.Limit{Part: 0.2}
-	return simulation.Options{Seed: seed, Gateways: gateways, Halls: 3, PerSecond: 20, Way: simulation.Ours, Limits: l, Length: 3_600_000, Uneven: true,
-		Release: change.Release{Name: "r", By: "anna", What: change.Version, To: "v2", ProveMs: 30_000, MostMs: 120_000, StepMs: 20_000, TakeBack: true}}
+	limits := change.DefaultLimits
+	limits.Gateways, limits.GatewaysHall = change.Limit{Part: 0.1}, change.Limit{Part: 0.2}
+	return simulation.Options{Seed: seed, Gateways: gateways, Halls: 3, CallsPerSecond: 20, Strategy: simulation.Supervised, Limits: limits,
+		MaxMs: 3_600_000, UnevenGateways: true,
+		Release: change.Release{Name: "r", By: "anna", What: change.Version, To: "v2", VerifyMs: 30_000, MaxVerifyMs: 120_000,
+			StepTimeoutMs: 20_000, AutoRollback: true}}
 }
 
-// ways compares the ways of going over a fleet of 24, by seeds 1 to n.
-func ways(n uint64) {
-	fmt.Printf("24 gateways, seeds 1 to %d, means\n%-14s %-8s %10s %12s %10s %8s\n", n, "way", "fault", "lost calls", "part of all", "reached", "minutes")
-	for _, way := range []simulation.Way{simulation.AllAtOnce, simulation.ByTime, simulation.Ours} {
-		for _, fault := range []simulation.Fault{simulation.None, simulation.Crash, simulation.Fails, simulation.Slow, simulation.Tenth} {
+// compareStrategies prints the mean costs of each strategy and fault in a fleet of 24 gateways, over the seeds 1 to n.
+func compareStrategies(n uint64) {
+	fmt.Printf("24 gateways, seeds 1 to %d, means\n%-14s %-8s %10s %12s %10s %8s\n", n, "way", "fault", "lost calls", "part of all", "reached",
+		"minutes")
+	for _, strategy := range []simulation.Strategy{simulation.AllAtOnce, simulation.FixedBatches, simulation.Supervised} {
+		for _, fault := range []simulation.Fault{simulation.NoFault, simulation.Crash, simulation.OneClassFails, simulation.SlowTail,
+			simulation.TenPercentSlower} {
 			var lost, part, reached, minutes float64
 			for seed := range n {
 				o := options(24, seed+1)
-				o.Way, o.Fault = way, fault
-				r := simulation.Play(o)
-				lost, part, reached, minutes = lost+r.LostCalls, part+r.Lost, reached+r.Reached, minutes+float64(r.Length)/60_000
+				o.Strategy, o.Fault = strategy, fault
+				r := simulation.Run(o)
+				lost, part, reached, minutes = lost+r.LostCalls, part+r.LostFraction, reached+r.MaxReached, minutes+float64(r.LengthMs)/60_000
 			}
 			k := float64(n)
-			fmt.Printf("%-14s %-8s %10.0f %12.4f %10.2f %8.1f\n", way, fault, lost/k, part/k, reached/k, minutes/k)
+			fmt.Printf("%-14s %-8s %10.0f %12.4f %10.2f %8.1f\n", strategy, fault, lost/k, part/k, reached/k, minutes/k)
 		}
 	}
 }
 
 func main() {
-	out := flag.String("out", "", "file of the plot, SVG")
-	seeds := flag.Uint64("seeds", 3, "seeds that the ways are compared by")
+	out := flag.String("out", "", "SVG file to which the plot is written; no plot if empty")
+	seeds := flag.Uint64("seeds", 3, "number of seeds with which each strategy is run")
 	flag.Parse()
 	fmt.Printf("%s, %d cores\n", runtime.GOARCH, runtime.NumCPU())
-	ways(*seeds)
+	compareStrategies(*seeds)
 	var whole, halt, bytes, messages plotter.XYs
 	fmt.Printf("\ngateways  whole min  halted s  reached  out most  entries  kB/s a gateway  messages/s a gateway  kB/s at the leader\n")
 	for _, n := range []int{6, 12, 24, 50, 100, 200, 300} {
 		o := options(n, 1)
-		r := simulation.Play(o)
-		o.Fault = simulation.Fails
-		bad := simulation.Play(o)
-		s := float64(r.Length)/1000 + simulation.WarmUp.Seconds()
+		r := simulation.Run(o)
+		o.Fault = simulation.OneClassFails
+		faulty := simulation.Run(o)
+		s := float64(r.LengthMs)/1000 + simulation.WarmUp.Seconds()
 		kb, msgs := r.Bytes/1000/s, r.Messages/s
-		fmt.Printf("%8d  %9.1f  %8.1f  %7.2f  %8d  %7d  %14.2f  %20.1f  %18.0f\n", n, float64(r.Took)/60_000, float64(bad.Took)/1000, bad.Reached, r.MostOut, r.Entries,
-			kb, msgs, kb*float64(n)/2)
+		fmt.Printf("%8d  %9.1f  %8.1f  %7.2f  %8d  %7d  %14.2f  %20.1f  %18.0f\n", n, float64(r.HaltOrEndMs)/60_000,
+			float64(faulty.HaltOrEndMs)/1000, faulty.MaxReached, r.MaxUnavailable, r.Entries, kb, msgs, kb*float64(n)/2)
 		add := func(to *plotter.XYs, y float64) { *to = append(*to, plotter.XY{X: float64(n), Y: y}) }
-		add(&whole, float64(r.Took)/60_000)
-		add(&halt, float64(bad.Took)/60_000)
+		add(&whole, float64(r.HaltOrEndMs)/60_000)
+		add(&halt, float64(faulty.HaltOrEndMs)/60_000)
 		add(&bytes, kb)
 		add(&messages, msgs)
 	}
 	if *out == "" {
 		return
 	}
-	if err := draw(*out, map[string]plotter.XYs{"minutes of a whole release": whole, "minutes until a harmful one is halted": halt, "kB/s a gateway": bytes,
-		"messages/s a gateway": messages}); err != nil {
+	if err := draw(*out, map[string]plotter.XYs{"minutes of a whole release": whole, "minutes until a harmful one is halted": halt,
+		"kB/s a gateway": bytes, "messages/s a gateway": messages}); err != nil {
 		fmt.Fprintln(os.Stderr, "rollout:", err)
 		os.Exit(1)
 	}
 }
 
+// draw writes a plot of the lines, which are given by the names in its legend, to an SVG file.
 func draw(file string, lines map[string]plotter.XYs) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text = "Releases over fleets", "gateways"
 	p.X.Scale, p.X.Tick.Marker, p.Y.Min, p.Legend.Top, p.Legend.Left = plot.LogScale{}, plot.LogTicks{}, 0, true, true
-	for i, name := range []string{"minutes of a whole release", "minutes until a harmful one is halted", "kB/s a gateway", "messages/s a gateway"} {
+	for i, name := range []string{"minutes of a whole release", "minutes until a harmful one is halted", "kB/s a gateway",
+		"messages/s a gateway"} {
 		line, err := plotter.NewLine(lines[name])
 		if err != nil {
 			return err
