--- a/cmd/simadapter/actions.go
+++ b/cmd/simadapter/actions.go
@@ -9,66 +9,72 @@
 	"quillrail/decide"
 )
 
-// put writes one action line of an instance.
-func (in *instance) put(verb string, pairs ...string) {
-	w := in.s.out
-	w.WriteString(verb)
-	w.WriteString(" i=")
-	w.WriteString(strconv.Itoa(in.id))
+// writeAction writes one action line of an instance: the verb, i=ID and the name-value pairs.
+func (in *instance) writeAction(verb string, pairs ...string) {
+	out := in.session.out
+	out.WriteString(verb)
+	out.WriteString(" i=")
+	out.WriteString(strconv.Itoa(in.id))
 	for i := 0; i < len(pairs); i += 2 {
-		w.WriteByte(' ')
-		w.WriteString(pairs[i])
-		w.WriteByte('=')
-		w.WriteString(pairs[i+1])
+		out.WriteByte(' ')
+		out.WriteString(pairs[i])
+		out.WriteByte('=')
+		out.WriteString(pairs[i+1])
 	}
-	w.WriteByte('\n')
+	out.WriteByte('\n')
 }
 
-func id(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatID(number uint64) string { return strconv.FormatUint(number, 10) }
 
-func secs(d time.Duration) string {
-	return strconv.FormatFloat(float64(d/time.Microsecond)/1e6, 'f', -1, 64)
+// formatSeconds returns a duration in seconds, cut to whole microseconds.
+func formatSeconds(duration time.Duration) string {
+	return strconv.FormatFloat(float64(duration/time.Microsecond)/1e6, 'f', -1, 64)
 }
 
-func flag(on bool) string {
+func formatFlag(on bool) string {
 	if on {
 		return "1"
 	}
 	return "0"
 }
 
-// The methods below make an instance the module's Gateway: one wire action each.
+// The methods below implement decide.Gateway. Each writes one action.
 
-func (in *instance) Route(n uint64, host string, expireAt time.Duration) {
+func (in *instance) Route(handle uint64, host string, expireAt time.Duration) {
 	if expireAt > 0 {
-		in.put("route", "handle", id(n), "expire-at-s", secs(expireAt), "host", host)
+		in.writeAction("route", "handle", formatID(handle), "expire-at-s", formatSeconds(expireAt), "host", host)
 		return
 	}
-	in.put("route", "handle", id(n), "host", host)
+	in.writeAction("route", "handle", formatID(handle), "host", host)
 }
 
-func (in *instance) Retract(n uint64, shot int) {
-	in.put("retract", "handle", id(n), "shot", strconv.Itoa(shot))
+func (in *instance) Retract(handle uint64, attempt int) {
+	in.writeAction("retract", "handle", formatID(handle), "shot", strconv.Itoa(attempt))
 }
 
-func (in *instance) Refuse(n uint64, pause time.Duration, _ decide.Reason) {
+func (in *instance) Refuse(handle uint64, pause time.Duration, _ decide.Reason) {
 	if pause > 0 {
-		in.put("refuse", "handle", id(n), "pause-s", secs(pause))
+		in.writeAction("refuse", "handle", formatID(handle), "pause-s", formatSeconds(pause))
 		return
 	}
-	in.put("refuse", "handle", id(n))
+	in.writeAction("refuse", "handle", formatID(handle))
 }
 
-func (in *instance) Fail(n uint64, _ decide.Reason) { in.put("lose", "handle", id(n)) }
+func (in *instance) Fail(handle uint64, _ decide.Reason) {
+	in.writeAction("lose", "handle", formatID(handle))
+}
 
 func (in *instance) Order(host, function string, copies int) {
-	in.put("start_copy", "copies", strconv.Itoa(copies), "host", host, "model", function)
+	in.writeAction("start_copy", "copies", strconv.Itoa(copies), "host", host, "model", function)
 }
 
-func (in *instance) Unload(host, function string) { in.put("shelve", "host", host, "model", function) }
+func (in *instance) Unload(host, function string) {
+	in.writeAction("shelve", "host", host, "model", function)
+}
 
-func (in *instance) Probe(host string) { in.put("test", "host", host) }
+func (in *instance) Probe(host string) { in.writeAction("test", "host", host) }
 
+// SendPeer writes * for all peers and - for empty content.
 func (in *instance) SendPeer(peer int, content []byte) {
 	target, text := "*", "-"
 	if peer >= 0 {
@@ -77,19 +83,20 @@
 	if len(content) > 0 {
 		text = base64.StdEncoding.EncodeToString(content)
 	}
-	in.put("broadcast_to", "target", target, "content", text)
+	in.writeAction("broadcast_to", "target", target, "content", text)
 }
 
-func (in *instance) Watch(on bool) { in.put("watch", "on", flag(on)) }
+func (in *instance) Watch(on bool) { in.writeAction("watch", "on", formatFlag(on)) }
 
-func (in *instance) Lookup() { in.put("lookup") }
+func (in *instance) Lookup() { in.writeAction("lookup") }
 
-func (in *instance) Release(host string) { in.put("release", "host", host) }
+func (in *instance) Release(host string) { in.writeAction("release", "host", host) }
 
 func (in *instance) WakeAt(after time.Duration, token string) {
-	in.put("wake_at", "after-s", secs(after), "token", token)
+	in.writeAction("wake_at", "after-s", formatSeconds(after), "token", token)
 }
 
-func (in *instance) Log(n decide.Notice) {
-	in.put("say_log", "reason-text", fmt.Sprintf("%+v", n))
+// Log writes the field names of decide.Notice to the simulator, so they are part of the protocol.
+func (in *instance) Log(notice decide.Notice) {
+	in.writeAction("say_log", "reason-text", fmt.Sprintf("%+v", notice))
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter lets the decision module play on the simulator's wire: batches of events on standard
-// input, one reply of actions for each on standard output. It parses and prints; it decides nothing.
+// Command simadapter connects package decide to a simulator. It reads batches of events from standard input and answers each with
+// the actions of package decide on standard output. It only converts between the line protocol and package decide.
 package main
 
 import (
@@ -16,11 +16,11 @@
 	}
 }
 
-// run answers batches until the end of input. An error names the line at fault.
+// run answers batches until the end of the input. Its errors name the number of the invalid line.
 func run(in io.Reader, out io.Writer) error {
-	s := &session{out: bufio.NewWriterSize(out, 1<<16), in: bufio.NewReaderSize(in, 1<<16), routers: map[int]*instance{}}
+	s := &session{out: bufio.NewWriterSize(out, 1<<16), in: bufio.NewReaderSize(in, 1<<16), instances: map[int]*instance{}}
 	for {
-		err := s.batch()
+		err := s.answerBatch()
 		if err == io.EOF {
 			return nil
 		}
--- a/cmd/simadapter/message.go
+++ b/cmd/simadapter/message.go
@@ -11,19 +11,21 @@
 	"quillrail/decide"
 )
 
-// message is a line cut into its parts. The first fault is kept.
+// message is a parsed line: a verb and named values. err is the first error that the methods below found; their results are valid only
+// without it.
 type message struct {
-	verb  string
-	names []string
-	vals  []string
-	err   error
+	verb   string
+	names  []string
+	values []string
+	err    error
 }
 
-// textFields run to the end of their line.
+// textFields are the fields whose values may contain spaces and extend to the end of the line.
 var textFields = map[string]bool{"boot-info": true, "reason-text": true}
 
+// parse replaces the message with the contents of a line.
 func (m *message) parse(line string) error {
-	m.names, m.vals, m.err = m.names[:0], m.vals[:0], nil
+	m.names, m.values, m.err = m.names[:0], m.values[:0], nil
 	verb, rest, _ := strings.Cut(line, " ")
 	m.verb = verb
 	for rest != "" {
@@ -31,90 +33,97 @@
 		if !ok || name == "" || strings.Contains(name, " ") {
 			return fmt.Errorf("%q is not name=value", rest)
 		}
-		val := after
+		value := after
 		if textFields[name] {
 			rest = ""
 		} else {
-			val, rest, _ = strings.Cut(after, " ")
+			value, rest, _ = strings.Cut(after, " ")
 		}
-		m.names, m.vals = append(m.names, name), append(m.vals, val)
+		m.names, m.values = append(m.names, name), append(m.values, value)
 	}
 	return nil
 }
 
+// get returns the value of a field and whether the message has it.
 func (m *message) get(name string) (string, bool) {
 	for i, n := range m.names {
 		if n == name {
-			return m.vals[i], true
+			return m.values[i], true
 		}
 	}
 	return "", false
 }
 
-func (m *message) fail(name, what string) {
+// fail records an error of a field unless there is an earlier one.
+func (m *message) fail(name, fault string) {
 	if m.err == nil {
-		m.err = fmt.Errorf("%s: %s %s", m.verb, name, what)
+		m.err = fmt.Errorf("%s: %s %s", m.verb, name, fault)
 	}
 }
 
-func (m *message) need(name string) string {
-	v, ok := m.get(name)
+// required returns the value of a field that must be present.
+func (m *message) required(name string) string {
+	text, ok := m.get(name)
 	if !ok {
 		m.fail(name, "is missing")
 	}
-	return v
+	return text
 }
 
+// float returns the value of a number field, 0 if it is missing.
 func (m *message) float(name string) float64 {
-	v, ok := m.get(name)
+	text, ok := m.get(name)
 	if !ok {
 		return 0
 	}
-	x, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(x) || math.IsInf(x, 0) {
-		m.fail(name, "is not a number: "+v)
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		m.fail(name, "is not a number: "+text)
 	}
-	return x
+	return number
 }
 
-func (m *message) dur(name string) time.Duration { return seconds(m.float(name)) }
+// duration returns the value of a field in seconds, 0 if it is missing.
+func (m *message) duration(name string) time.Duration { return fromSeconds(m.float(name)) }
 
+// int returns the value of a whole-number field, 0 if it is missing.
 func (m *message) int(name string) int {
-	v, ok := m.get(name)
+	text, ok := m.get(name)
 	if !ok {
 		return 0
 	}
-	n, err := strconv.Atoi(v)
+	number, err := strconv.Atoi(text)
 	if err != nil {
-		m.fail(name, "is not a whole number: "+v)
+		m.fail(name, "is not a whole number: "+text)
 	}
-	return n
+	return number
 }
 
-func (m *message) needInt(name string) int {
-	m.need(name)
+func (m *message) requiredInt(name string) int {
+	m.required(name)
 	return m.int(name)
 }
 
-func (m *message) handle() uint64 {
-	v := m.need("handle")
-	n, err := strconv.ParseUint(v, 10, 64)
+func (m *message) requestID() uint64 {
+	text := m.required("handle")
+	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		m.fail("handle", "is not a request id: "+v)
+		m.fail("handle", "is not a request id: "+text)
 	}
-	return n
+	return number
 }
 
+// bytes returns the content of a required base64 field; - stands for no content.
 func (m *message) bytes(name string) []byte {
-	v := m.need(name)
-	if v == "-" {
+	text := m.required(name)
+	if text == "-" {
 		return nil
 	}
-	b, err := base64.StdEncoding.DecodeString(v)
+	content, err := base64.StdEncoding.DecodeString(text)
 	if err != nil {
-		m.fail(name, "is not base64: "+v)
+		m.fail(name, "is not base64: "+text)
 	}
-	return b
+	return content
 }
 
 var outcomes = map[string]decide.Outcome{"GOOD": decide.Good, "BAD": decide.Bad, "FULL": decide.Full,
@@ -122,12 +131,15 @@
 	"NOP": decide.NotSent, "MISS": decide.Miss}
 
 func (m *message) outcome() decide.Outcome {
-	v := m.need("disposition")
-	o, ok := outcomes[v]
+	text := m.required("disposition")
+	outcome, ok := outcomes[text]
 	if !ok {
-		m.fail("disposition", "is unknown: "+v)
+		m.fail("disposition", "is unknown: "+text)
 	}
-	return o
+	return outcome
 }
 
-func seconds(x float64) time.Duration { return time.Duration(math.Round(x*1e6)) * time.Microsecond }
+// fromSeconds converts seconds to a duration, rounded to microseconds.
+func fromSeconds(number float64) time.Duration {
+	return time.Duration(math.Round(number*1e6)) * time.Microsecond
+}
--- a/cmd/simadapter/wire.go
+++ b/cmd/simadapter/wire.go
@@ -12,16 +12,17 @@
 	"quillrail/internal/settings"
 )
 
-// session is one conversation with the simulator.
+// session is the state of the exchange with the simulator.
 type session struct {
-	in      *bufio.Reader
-	out     *bufio.Writer
-	line    int
-	now     time.Duration
-	routers map[int]*instance
+	in        *bufio.Reader
+	out       *bufio.Writer
+	line      int               // number of the last line that was read
+	now       time.Duration     // time of the simulation
+	instances map[int]*instance // by number on the wire
 }
 
-func (s *session) read() (string, error) {
+// readLine returns the next line without its line end, or io.EOF if there is none.
+func (s *session) readLine() (string, error) {
 	text, err := s.in.ReadString('\n')
 	if err == io.EOF && text == "" {
 		return "", io.EOF
@@ -33,11 +34,11 @@
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
-// batch answers one batch: everything from a tick to its over_to_you.
-func (s *session) batch() error {
-	line, err := s.read()
+// answerBatch reads one batch, the lines from tick to over_to_you, and writes the actions and done. It doesn't flush the output.
+func (s *session) answerBatch() error {
+	line, err := s.readLine()
 	for err == nil && line == "" {
-		line, err = s.read()
+		line, err = s.readLine()
 	}
 	if err != nil {
 		return err
@@ -49,12 +50,12 @@
 	if m.verb != "tick" {
 		return fmt.Errorf("a batch begins with tick, not %q", m.verb)
 	}
-	m.need("sim-time-s")
-	if s.now = m.dur("sim-time-s"); m.err != nil {
+	m.required("sim-time-s")
+	if s.now = m.duration("sim-time-s"); m.err != nil {
 		return m.err
 	}
 	for {
-		line, err := s.read()
+		line, err := s.readLine()
 		if err == io.EOF {
 			return io.ErrUnexpectedEOF
 		}
@@ -71,31 +72,32 @@
 		if err := m.parse(line); err != nil {
 			return err
 		}
-		if err := s.event(&m); err != nil {
+		if err := s.handleEvent(&m); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *session) event(m *message) (err error) {
-	id := m.needInt("i")
+// handleEvent handles one message of a batch: it opens or shuts down an instance, or passes an event to one.
+func (s *session) handleEvent(m *message) (err error) {
+	id := m.requiredInt("i")
 	if m.err != nil {
 		return m.err
 	}
-	defer func() { // a panic in the module is a fault of the day, told on the wire
+	defer func() { // a panic in package decide is reported to the simulator and doesn't end the adapter
 		if p := recover(); p != nil {
 			fmt.Fprintf(s.out, "internal_error i=%d reason-text=%s\n", id, strings.ReplaceAll(fmt.Sprint(p), "\n", " "))
 		}
 	}()
 	if m.verb == "open_instance" {
-		return s.open(id, m)
+		return s.openInstance(id, m)
 	}
-	in := s.routers[id]
+	in := s.instances[id]
 	if in == nil {
 		return fmt.Errorf("%s for instance %d, which is not open", m.verb, id)
 	}
 	if m.verb == "shutdown" {
-		delete(s.routers, id)
+		delete(s.instances, id)
 		return nil
 	}
 	ev, err := in.decode(m)
@@ -109,9 +111,10 @@
 	return nil
 }
 
-func (s *session) open(id int, m *message) error {
-	seedText := m.need("prng")
-	info := m.need("boot-info")
+// openInstance creates the router of an instance.
+func (s *session) openInstance(id int, m *message) error {
+	seedText := m.required("prng")
+	info := m.required("boot-info")
 	if m.err != nil {
 		return m.err
 	}
@@ -123,10 +126,10 @@
 	if err != nil {
 		return fmt.Errorf("open_instance: boot-info: %w", err)
 	}
-	in := &instance{id: id, s: s, site: site}
+	in := &instance{id: id, session: s, site: site}
 	if in.router, err = decide.New(site.Decide, seed, in); err != nil {
 		return err
 	}
-	s.routers[id] = in
+	s.instances[id] = in
 	return nil
 }
--- a/internal/app/plan.go
+++ b/internal/app/plan.go
@@ -37,10 +37,10 @@
 			}}
 	}
 	solve := func(c *cli.Command, problem *plan.Problem) (*plan.Plan, error) {
-		options := plan.Options{Steps: c.Int64("steps")}
-		if options.Steps == 0 {
-			options.Clock, options.Limit = func() time.Duration { return time.Duration(time.Now().UnixNano()) }, c.Duration("limit")
-			options.Steps = int64(c.Duration("limit").Seconds() * 300_000_000) // at about 300 million steps a second
+		options := plan.Options{MaxSteps: c.Int64("steps")}
+		if options.MaxSteps == 0 {
+			options.Clock, options.TimeLimit = func() time.Duration { return time.Duration(time.Now().UnixNano()) }, c.Duration("limit")
+			options.MaxSteps = int64(c.Duration("limit").Seconds() * 300_000_000) // at about 300 million steps a second
 		}
 		result := plan.Solve(problem, options)
 		return result, plan.Verify(problem, result)
@@ -100,9 +100,9 @@
 	switch {
 	case err != nil:
 		return err
-	case result.Verdict == plan.None:
+	case result.Verdict == plan.NoPlan:
 		return cli.Exit(result.Verdict, exitNoPlan)
-	case result.Verdict == plan.Unknown:
+	case result.Verdict == plan.NoneFound:
 		return cli.Exit(result.Verdict, exitTimeout)
 	}
 	return nil
@@ -139,7 +139,7 @@
 	for _, name := range result.Conflict {
 		fmt.Fprintf(table, "conflict\t%s\n", name)
 	}
-	if result.Verdict != plan.Optimal && result.Verdict != plan.Best {
+	if result.Verdict != plan.Optimal && result.Verdict != plan.BestFound {
 		return table.Flush()
 	}
 	fmt.Fprintf(table, "score\t%d\nbound\t%d\n", result.Score, result.Bound)
@@ -160,15 +160,15 @@
 
 // explain prints how the plan's score is composed and which calls it doesn't serve.
 func explain(out io.Writer, problem *plan.Problem, result *plan.Plan) error {
-	if err := printPlan(out, result, false); err != nil || result.Verdict != plan.Optimal && result.Verdict != plan.Best {
+	if err := printPlan(out, result, false); err != nil || result.Verdict != plan.Optimal && result.Verdict != plan.BestFound {
 		return err
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "worth of the work served\t%d\n", result.Price.Worth)
-	fmt.Fprintf(table, "less crossings of halls\t%d\n", result.Price.Cross)
-	fmt.Fprintf(table, "less memory held\t%d\n", result.Price.Memory)
-	fmt.Fprintf(table, "less load time\t%d\n", result.Price.Load)
-	fmt.Fprintf(table, "less copies moved\t%d\n", result.Price.Move)
+	fmt.Fprintf(table, "worth of the work served\t%d\n", result.Breakdown.Worth)
+	fmt.Fprintf(table, "less crossings of halls\t%d\n", result.Breakdown.Cross)
+	fmt.Fprintf(table, "less memory held\t%d\n", result.Breakdown.Memory)
+	fmt.Fprintf(table, "less load time\t%d\n", result.Breakdown.Load)
+	fmt.Fprintf(table, "less copies moved\t%d\n", result.Breakdown.Move)
 	type demand struct{ model, class, hall string }
 	served := map[demand]int64{}
 	for _, share := range result.Shares {
--- a/internal/plan/bounds.go
+++ b/internal/plan/bounds.go
@@ -5,82 +5,89 @@
 	"slices"
 )
 
-// relaxed is what no placement is worth more than that keeps to what is decided: what is not decided may serve, and
-// costs in proportion to that.
-func (s *search) relaxed() int64 {
-	// A copy takes as much at most as its lanes, the cores and its calls, so each unit bears that part of its points,
-	// rounded down.
-	toll := func(m, w int) int64 {
-		if s.x[m][w] || s.holds[m][w] <= 0 {
+// relaxedBound returns an upper bound on the score of all placements that agree with the decisions so far. For the bound, every
+// undecided copy may serve calls and costs only in proportion to the work that it serves.
+func (s *search) relaxedBound() int64 {
+	// A copy serves at most as much work as its lanes, the cores of its worker and the calls of its model allow. Its cost divided
+	// by this maximum, rounded down, is the cost per mcore, so the sum never exceeds the real cost.
+	unitCost := func(m, w int) int64 {
+		if s.placed[m][w] || s.copyCost[m][w] <= 0 {
 			return 0
 		}
-		return s.holds[m][w] * fine / max(1, min(s.Models[m].Lanes*s.lane[w], s.cpu[w], s.work[m]))
+		return s.copyCost[m][w] * gainScale / max(1, min(s.Models[m].Lanes*s.laneMcores[w], s.cpuMcores[w], s.modelMcores[m]))
 	}
 	sum := int64(1 << 62)
-	if s.apart != nil && s.at < len(s.free) { // the models up to the one at hand together, the others alone
-		last := s.rank[s.free[s.at].m]
-		part := func(m int) bool { return s.rank[m] <= last }
-		sum = s.later[last] - s.rest(part)
-		gain, whole, _ := s.serve(&s.net, func(m, w int) bool { return part(m) && (s.x[m][w] || s.open(m, w)) }, toll, s.stepOf)
-		if sum += gain; !whole {
+	if s.soloBounds != nil && s.decided < len(s.candidates) { // bound the models up to the current one jointly, later ones singly
+		lastRank := s.modelRank[s.candidates[s.decided].model]
+		included := func(m int) bool { return s.modelRank[m] <= lastRank }
+		sum = s.laterBounds[lastRank] - s.minCost(included)
+		gain, complete, _ := s.assignShares(&s.net, func(m, w int) bool { return included(m) && (s.placed[m][w] || s.undecided(m, w)) },
+			unitCost, s.spendPath)
+		if sum += gain; !complete {
 			sum = 1 << 62
 		}
 		if sum <= s.score {
 			return sum
 		}
 	}
-	gain, whole, _ := s.serve(&s.net, func(m, w int) bool { return s.x[m][w] || s.open(m, w) }, toll, s.stepOf)
-	if !whole {
+	gain, complete, _ := s.assignShares(&s.net, func(m, w int) bool { return s.placed[m][w] || s.undecided(m, w) },
+		unitCost, s.spendPath)
+	if !complete {
 		return sum
 	}
-	return min(sum, gain-s.rest(func(int) bool { return true }))
+	return min(sum, gain-s.minCost(func(int) bool { return true }))
 }
 
-// rest is what some models cost at least, as far as it is decided.
-func (s *search) rest(part func(m int) bool) (sum int64) {
-	if s.idles == nil {
-		sum = s.idle
+// minCost returns the least that the included models can cost, given the decisions so far. It counts undecided copies only if their
+// cost is negative, that is, if keeping them is cheaper than unloading them.
+func (s *search) minCost(included func(m int) bool) (sum int64) {
+	if s.soloUnloadCosts == nil {
+		sum = s.unloadAllCost
 	}
-	for m := range s.x {
-		if !part(m) {
+	for m := range s.placed {
+		if !included(m) {
 			continue
 		}
-		if s.idles != nil {
-			sum += s.idles[m]
+		if s.soloUnloadCosts != nil {
+			sum += s.soloUnloadCosts[m]
 		}
-		for w, on := range s.x[m] {
+		for w, on := range s.placed[m] {
 			if on {
-				sum += s.holds[m][w]
-			} else if s.open(m, w) {
-				sum += min(0, s.holds[m][w])
+				sum += s.copyCost[m][w]
+			} else if s.undecided(m, w) {
+				sum += min(0, s.copyCost[m][w])
 			}
 		}
 	}
 	return sum
 }
 
-// takes is how much work a copy can take.
-func (s *search) takes(p pair) int64 { return min(s.Models[p.m].Lanes*s.lane[p.w], s.cpu[p.w]) }
+// copyCapacity returns how much work, in mcores, a copy can serve.
+func (s *search) copyCapacity(p candidate) int64 {
+	return min(s.Models[p.model].Lanes*s.laneMcores[p.worker], s.cpuMcores[p.worker])
+}
 
-// outdone reports, for a model alone, whether a worker of the same hall that takes as much and costs no more was left
-// out: a placement with that one instead is as good, and is found without this one.
-func (s *search) outdone(at int) bool {
+// dominated reports whether a candidate can be skipped because an earlier one, which was decided against, is in the same hall, can
+// serve as much, costs no more and needs a load only if this one does: a placement with the earlier one instead is as good and is
+// found in another branch. This holds only if the problem has a single model.
+func (s *search) dominated(index int) bool {
 	if len(s.Models) > 1 {
 		return false
 	}
-	p := s.free[at]
-	for _, o := range s.free[:at] {
-		if !s.x[o.m][o.w] && s.halls[o.w] == s.halls[p.w] && s.holds[o.m][o.w] <= s.holds[p.m][p.w] && s.takes(o) >= s.takes(p) &&
-			(s.present[o.m][o.w] || !s.present[p.m][p.w]) {
+	p := s.candidates[index]
+	for _, other := range s.candidates[:index] {
+		if !s.placed[other.model][other.worker] && s.hallOf[other.worker] == s.hallOf[p.worker] &&
+			s.copyCost[other.model][other.worker] <= s.copyCost[p.model][p.worker] && s.copyCapacity(other) >= s.copyCapacity(p) &&
+			(s.present[other.model][other.worker] || !s.present[p.model][p.worker]) {
 			return true
 		}
 	}
 	return false
 }
 
-// knapsack is a bound that is quick at any size: the work with most worth that all cores together take, each demand in
-// its own hall, less what stands for nothing.
-func (s *search) knapsack() int64 {
+// knapsackBound returns an upper bound on the score that is quick to compute for a problem of any size. It fills the sum of all
+// cores with the work of most worth, as if each call were served in its own hall, and counts copies only if their cost is negative.
+func (s *search) knapsackBound() int64 {
 	type item struct{ worth, mcores int64 }
 	var items []item
 	for _, m := range s.Models {
@@ -89,22 +96,22 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(b.worth, a.worth) })
-	left := int64(0)
+	freeMcores := int64(0)
 	for w := range s.Workers {
 		if s.Workers[w].State == "ready" {
-			left += s.cpu[w]
+			freeMcores += s.cpuMcores[w]
 		}
 	}
-	sum := -s.idle
+	sum := -s.unloadAllCost
 	for _, i := range items {
-		n := min(left, i.mcores)
-		sum += n * i.worth
-		left -= n
+		taken := min(freeMcores, i.mcores)
+		sum += taken * i.worth
+		freeMcores -= taken
 	}
 	for m := range s.Models {
 		for w := range s.Workers {
-			if s.may[m][w] {
-				sum -= min(0, s.holds[m][w])
+			if s.allowed[m][w] {
+				sum -= min(0, s.copyCost[m][w])
 			}
 		}
 	}
--- a/internal/plan/conflict.go
+++ b/internal/plan/conflict.go
@@ -6,243 +6,245 @@
 	"slices"
 )
 
-// answer is that of a search for any placement.
-type answer int
+// searchOutcome is the outcome of findFeasible.
+type searchOutcome int
 
 const (
-	yes answer = iota
-	no
-	cutOff
+	feasible   searchOutcome = iota // a placement was found
+	infeasible                      // none exists
+	cutOff                          // the steps ran out first
 )
 
-// The names of limits, as a conflict lists them.
-func memoryOf(w Worker) string { return "memory of worker " + w.ID }
-func stateOf(w Worker) string  { return fmt.Sprintf("worker %s is %s", w.ID, w.State) }
-func leastOf(m Model) string   { return fmt.Sprintf("least_copies %d of model %s", m.Least, m.ID) }
-func mostOf(m Model) string    { return fmt.Sprintf("most_copies %d of model %s", m.Most, m.ID) }
-func hallsOf(m Model) string   { return fmt.Sprintf("halls %d of model %s", m.Halls, m.ID) }
-func pinOf(m Model, w Worker) string {
+// The functions and constants below give the names of limits in Plan.Conflict.
+func memoryLimit(w Worker) string  { return "memory of worker " + w.ID }
+func stateLimit(w Worker) string   { return fmt.Sprintf("worker %s is %s", w.ID, w.State) }
+func leastLimit(m Model) string    { return fmt.Sprintf("least_copies %d of model %s", m.MinCopies, m.ID) }
+func mostLimit(m Model) string     { return fmt.Sprintf("most_copies %d of model %s", m.MaxCopies, m.ID) }
+func minHallsLimit(m Model) string { return fmt.Sprintf("halls %d of model %s", m.MinHalls, m.ID) }
+func pinLimit(m Model, w Worker) string {
 	return fmt.Sprintf("model %s is pinned to worker %s", m.ID, w.ID)
 }
-func banOf(m Model, w Worker) string {
+func excludeLimit(m Model, w Worker) string {
 	return fmt.Sprintf("model %s is excluded from worker %s", m.ID, w.ID)
 }
 
 const (
-	surviveLimit = "limits.survive_hall"
-	loadsLimit   = "limits.loads"
-	fetchLimit   = "limits.fetch_ms"
+	surviveHallLimit = "limits.survive_hall"
+	loadsLimit       = "limits.loads"
+	fetchLimit       = "limits.fetch_ms"
 )
 
-// feasible searches for a placement that keeps all limits but those in skip, with no more copies than are needed.
-func (in *instance) feasible(skip map[string]bool, t *meter, most int64) ([][]bool, answer) {
-	f := &fitter{instance: in, skip: skip, t: t, end: t.steps + most, x: grid[bool](in), used: make([]int64, len(in.Workers))}
+// findFeasible searches for a placement that keeps all limits except the ignored ones, with no more copies than are needed.
+func (in *instance) findFeasible(ignored map[string]bool, budget *stepBudget, maxSteps int64) ([][]bool, searchOutcome) {
+	f := &feasibilitySearch{instance: in, ignored: ignored, budget: budget, endStep: budget.steps + maxSteps,
+		placed: grid[bool](in), usedMB: make([]int64, len(in.Workers))}
 	for m := range in.Models {
-		if f.least(m) > 0 || f.over(m) > 0 || slices.Contains(in.pins[m], true) {
+		if f.requiredCopies(m) > 0 || f.requiredHalls(m) > 0 || slices.Contains(in.pins[m], true) {
 			f.order = append(f.order, m)
 		}
 	}
 	slices.SortStableFunc(f.order, func(a, b int) int { return cmp.Compare(in.Models[b].MemoryMB, in.Models[a].MemoryMB) })
 	switch {
-	case f.model(0):
-		return f.x, yes
-	case f.cut:
+	case f.placeModel(0):
+		return f.placed, feasible
+	case f.cutOff:
 		return nil, cutOff
 	}
-	return nil, no
+	return nil, infeasible
 }
 
-// fitter is the search of feasible. Models go in the order of their size, and the workers of each in one order, so that
-// no set of them is tried twice.
-type fitter struct {
+// feasibilitySearch is the state of findFeasible. It places the largest models first, and tries the workers of each model in a fixed
+// order, so that no set of workers is tried twice.
+type feasibilitySearch struct {
 	*instance
-	skip           map[string]bool
-	t              *meter
-	end            int64
-	cut            bool
+	ignored        map[string]bool
+	budget         *stepBudget
+	endStep        int64
+	cutOff         bool
 	order          []int
-	x              [][]bool
-	used           []int64
+	placed         [][]bool
+	usedMB         []int64
 	loads, fetchMs int64
 }
 
-func (f *fitter) least(m int) int {
-	if f.skip[leastOf(f.Models[m])] {
+func (f *feasibilitySearch) requiredCopies(m int) int {
+	if f.ignored[leastLimit(f.Models[m])] {
 		return 0
 	}
-	return f.need(m)
+	return f.minCopies(m)
 }
 
-// over is the number of halls that a model has to stand in.
-func (f *fitter) over(m int) int {
-	n := 0
-	if !f.skip[hallsOf(f.Models[m])] {
-		n = int(f.Models[m].Halls)
+// requiredHalls returns the number of halls in which a model must have copies.
+func (f *feasibilitySearch) requiredHalls(m int) int {
+	halls := 0
+	if !f.ignored[minHallsLimit(f.Models[m])] {
+		halls = int(f.Models[m].MinHalls)
 	}
-	if f.Limits.SurviveHall && len(f.Models[m].Calls) > 0 && !f.skip[surviveLimit] {
-		n = max(n, 2)
+	if f.Limits.SurviveHall && len(f.Models[m].Calls) > 0 && !f.ignored[surviveHallLimit] {
+		halls = max(halls, 2)
 	}
-	return n
+	return halls
 }
 
-// takes reports whether a worker may hold a model and has room for it.
-func (f *fitter) takes(m, w int) bool {
-	o, k := f.Models[m], f.Workers[w]
-	room := f.room[w]
-	if k.State != "ready" {
-		if !f.skip[stateOf(k)] {
+// canPlace reports whether a copy of a model may be loaded on a worker and fits the memory and load limits.
+func (f *feasibilitySearch) canPlace(m, w int) bool {
+	model, worker := f.Models[m], f.Workers[w]
+	roomMB := f.roomMB[w]
+	if worker.State != "ready" {
+		if !f.ignored[stateLimit(worker)] {
 			return false
 		}
-		room = k.MemoryMB * (100 - f.Limits.Headroom) / 100
+		roomMB = worker.MemoryMB * (100 - f.Limits.HeadroomPercent) / 100
 	}
-	if slices.Contains(o.Excludes, k.ID) && !f.skip[banOf(o, k)] || f.used[w]+o.MemoryMB > room && !f.skip[memoryOf(k)] {
+	if slices.Contains(model.Excludes, worker.ID) && !f.ignored[excludeLimit(model, worker)] ||
+		f.usedMB[w]+model.MemoryMB > roomMB && !f.ignored[memoryLimit(worker)] {
 		return false
 	}
 	if f.present[m][w] {
 		return true
 	}
-	return (f.Limits.Loads == nil || f.skip[loadsLimit] || f.loads < *f.Limits.Loads) &&
-		(f.Limits.FetchMs == nil || f.skip[fetchLimit] || f.fetchMs+o.LoadMs <= *f.Limits.FetchMs)
+	return (f.Limits.Loads == nil || f.ignored[loadsLimit] || f.loads < *f.Limits.Loads) &&
+		(f.Limits.FetchMs == nil || f.ignored[fetchLimit] || f.fetchMs+model.LoadMs <= *f.Limits.FetchMs)
 }
 
-func (f *fitter) put(m, w int, on bool) {
+func (f *feasibilitySearch) set(m, w int, on bool) {
 	n, mb, ms := int64(1), f.Models[m].MemoryMB, f.Models[m].LoadMs
 	if !on {
 		n, mb, ms = -1, -mb, -ms
 	}
-	f.x[m][w] = on
-	if f.used[w] += mb; !f.present[m][w] {
+	f.placed[m][w] = on
+	if f.usedMB[w] += mb; !f.present[m][w] {
 		f.loads += n
 		f.fetchMs += ms
 	}
 }
 
-// model places the model at a place in the order, and then the rest.
-func (f *fitter) model(i int) bool {
+// placeModel places the model at index i of the order and all later ones.
+func (f *feasibilitySearch) placeModel(i int) bool {
 	if i == len(f.order) {
 		return true
 	}
 	m := f.order[i]
 	var pins, others []int
-	for w, k := range f.Workers {
-		if f.pins[m][w] && !f.skip[pinOf(f.Models[m], k)] {
+	for w, worker := range f.Workers {
+		if f.pins[m][w] && !f.ignored[pinLimit(f.Models[m], worker)] {
 			pins = append(pins, w)
 		} else {
 			others = append(others, w)
 		}
 	}
-	slices.SortStableFunc(others, func(a, b int) int { // what stands first: it needs no load
-		return -cmp.Compare(number01(f.present[m][a]), number01(f.present[m][b]))
+	slices.SortStableFunc(others, func(a, b int) int { // present copies first, as they need no load
+		return -cmp.Compare(boolToInt(f.present[m][a]), boolToInt(f.present[m][b]))
 	})
-	return f.pin(i, pins, others)
+	return f.placePinned(i, pins, others)
 }
 
-func number01(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (f *fitter) pin(i int, pins, others []int) bool {
+func (f *feasibilitySearch) placePinned(i int, pins, others []int) bool {
 	m := f.order[i]
 	if len(pins) > 0 {
 		w := pins[0]
-		if !f.takes(m, w) {
+		if !f.canPlace(m, w) {
 			return false
 		}
-		f.put(m, w, true)
-		if f.pin(i, pins[1:], others) {
+		f.set(m, w, true)
+		if f.placePinned(i, pins[1:], others) {
 			return true
 		}
-		f.put(m, w, false)
+		f.set(m, w, false)
 		return false
 	}
-	return f.choose(i, others)
+	return f.addCopies(i, others)
 }
 
-// choose adds copies of a model at the workers that are left until it has what it needs.
-func (f *fitter) choose(i int, left []int) bool {
-	if !f.t.step(1) || f.t.steps > f.end {
-		f.cut = true
+// addCopies adds copies on the remaining workers until the model has the required copies and halls, then places the next model.
+func (f *feasibilitySearch) addCopies(i int, remaining []int) bool {
+	if !f.budget.spend(1) || f.budget.steps > f.endStep {
+		f.cutOff = true
 		return false
 	}
 	m, copies, halls := f.order[i], 0, map[int]bool{}
-	for w, on := range f.x[m] {
+	for w, on := range f.placed[m] {
 		if on {
 			copies++
-			halls[f.halls[w]] = true
+			halls[f.hallOf[w]] = true
 		}
 	}
-	if most := f.mostCopies(m); copies > most && !f.skip[mostOf(f.Models[m])] {
+	if maxCopies := f.maxCopies(m); copies > maxCopies && !f.ignored[mostLimit(f.Models[m])] {
 		return false
 	}
-	need, over := f.least(m), f.over(m)
-	if copies >= need && len(halls) >= over {
-		return f.model(i + 1)
+	minCopies, minHalls := f.requiredCopies(m), f.requiredHalls(m)
+	if copies >= minCopies && len(halls) >= minHalls {
+		return f.placeModel(i + 1)
 	}
-	for j, w := range left {
-		if copies+len(left)-j < need {
+	for j, w := range remaining {
+		if copies+len(remaining)-j < minCopies {
 			return false
 		}
-		if copies >= need && halls[f.halls[w]] || !f.takes(m, w) {
+		if copies >= minCopies && halls[f.hallOf[w]] || !f.canPlace(m, w) {
 			continue
 		}
-		f.put(m, w, true)
-		if f.choose(i, left[j+1:]) {
+		f.set(m, w, true)
+		if f.addCopies(i, remaining[j+1:]) {
 			return true
 		}
-		f.put(m, w, false)
-		if f.cut {
+		f.set(m, w, false)
+		if f.cutOff {
 			return false
 		}
 	}
 	return false
 }
 
-// conflict returns limits that can't all be kept, each of which is needed for that, as far as the steps go.
-func (in *instance) conflict(t *meter) (left []string) {
-	var all []string
+// conflict returns limits that can't all be kept, and no more of them than necessary as far as the steps suffice to find out.
+func (in *instance) conflict(budget *stepBudget) (needed []string) {
+	var limits []string
 	if in.Limits.Loads != nil {
-		all = append(all, loadsLimit)
+		limits = append(limits, loadsLimit)
 	}
 	if in.Limits.FetchMs != nil {
-		all = append(all, fetchLimit)
+		limits = append(limits, fetchLimit)
 	}
 	if in.Limits.SurviveHall {
-		all = append(all, surviveLimit)
+		limits = append(limits, surviveHallLimit)
 	}
 	for _, w := range in.Workers {
-		if all = append(all, memoryOf(w)); w.State != "ready" {
-			all = append(all, stateOf(w))
+		if limits = append(limits, memoryLimit(w)); w.State != "ready" {
+			limits = append(limits, stateLimit(w))
 		}
 	}
 	for i, m := range in.Models {
-		if m.Least > 0 {
-			all = append(all, leastOf(m))
+		if m.MinCopies > 0 {
+			limits = append(limits, leastLimit(m))
 		}
-		if m.Most > 0 {
-			all = append(all, mostOf(m))
+		if m.MaxCopies > 0 {
+			limits = append(limits, mostLimit(m))
 		}
-		if m.Halls > 0 {
-			all = append(all, hallsOf(m))
+		if m.MinHalls > 0 {
+			limits = append(limits, minHallsLimit(m))
 		}
 		for j, w := range in.Workers {
 			if in.pins[i][j] {
-				all = append(all, pinOf(m, w))
+				limits = append(limits, pinLimit(m, w))
 			}
 			if slices.Contains(m.Excludes, w.ID) {
-				all = append(all, banOf(m, w))
+				limits = append(limits, excludeLimit(m, w))
 			}
 		}
 	}
-	skip := map[string]bool{}
-	for _, name := range all {
-		skip[name] = true
-		if _, a := in.feasible(skip, t, t.most/int64(leastShare*len(all))); a != no {
-			delete(skip, name)
-			left = append(left, name)
+	ignored := map[string]bool{}
+	for _, name := range limits {
+		ignored[name] = true
+		if _, outcome := in.findFeasible(ignored, budget, budget.maxSteps/int64(feasibilityDivisor*len(limits))); outcome != infeasible {
+			delete(ignored, name)
+			needed = append(needed, name)
 		}
 	}
-	return left
+	return needed
 }
--- a/internal/plan/flow.go
+++ b/internal/plan/flow.go
@@ -1,106 +1,110 @@
 package plan
 
-// arc is an edge of the flow network; arcs[i^1] is its reverse.
+// arc is an arc of the flow network. The reverse of arcs[i] is arcs[i^1].
 type arc struct {
-	to   int32
-	room int64
-	gain int64
+	to       int32
+	capacity int64 // remaining
+	gain     int64 // per unit of flow
 }
 
-// network is a flow network whose best flow is the most gainful one, not the largest.
+// network is a flow network in which the flow with the highest gain is sought, not the largest flow.
 type network struct {
-	arcs []arc
-	out  [][]int32 // arcs by node
-	far  []int64
-	via  []int32
-	in   []bool
-	line []int32
+	arcs     []arc
+	arcsFrom [][]int32 // by node: indexes of its outgoing arcs
+	pathGain []int64   // by node: gain of the best path from the source
+	lastArc  []int32   // by node: last arc of that path
+	queued   []bool    // by node: it is in the queue
+	queue    []int32   // nodes whose outgoing arcs have to be examined again
 }
 
+// reset removes all arcs and sets the number of nodes.
 func (n *network) reset(nodes int) {
 	n.arcs = n.arcs[:0]
-	for len(n.out) < nodes {
-		n.out = append(n.out, nil)
+	for len(n.arcsFrom) < nodes {
+		n.arcsFrom = append(n.arcsFrom, nil)
 	}
-	n.out = n.out[:nodes]
-	for i := range n.out {
-		n.out[i] = n.out[i][:0]
+	n.arcsFrom = n.arcsFrom[:nodes]
+	for i := range n.arcsFrom {
+		n.arcsFrom[i] = n.arcsFrom[i][:0]
 	}
 }
 
-func (n *network) join(from, to int, room, gain int64) int {
+// addArc adds an arc and its reverse, and returns the index of the arc.
+func (n *network) addArc(from, to int, capacity, gain int64) int {
 	i := len(n.arcs)
-	n.arcs = append(n.arcs, arc{int32(to), room, gain}, arc{int32(from), 0, -gain})
-	n.out[from] = append(n.out[from], int32(i))
-	n.out[to] = append(n.out[to], int32(i+1))
+	n.arcs = append(n.arcs, arc{int32(to), capacity, gain}, arc{int32(from), 0, -gain})
+	n.arcsFrom[from] = append(n.arcsFrom[from], int32(i))
+	n.arcsFrom[to] = append(n.arcsFrom[to], int32(i+1))
 	return i
 }
 
-const never = -1 << 62
+const unreachable = -1 << 62
 
-// run sends flow from s to t along the most gainful paths while there is a gain, and returns the sum. Each path is the
-// best there is, so the gains only fall and the sum is the optimum. step is called for each path and may end it early,
-// which leaves a flow that is possible but not the best; the second result says so.
-func (n *network) run(s, t int, step func() bool) (sum int64, whole bool) {
-	if len(n.far) < len(n.out) {
-		n.far, n.via, n.in = make([]int64, len(n.out)), make([]int32, len(n.out)), make([]bool, len(n.out))
+// maximizeGain sends flow along the path of highest gain as long as there is a gain, and returns the sum of the gains. The gains of
+// successive paths never rise, so the sum is optimal. spend is called before each path. If it returns false, the flow found so far is
+// valid but may not be optimal, and complete is false.
+func (n *network) maximizeGain(source, sink int, spend func() bool) (sum int64, complete bool) {
+	if len(n.pathGain) < len(n.arcsFrom) {
+		n.pathGain, n.lastArc, n.queued = make([]int64, len(n.arcsFrom)), make([]int32, len(n.arcsFrom)), make([]bool, len(n.arcsFrom))
 	}
 	for {
-		if !step() {
+		if !spend() {
 			return sum, false
 		}
-		for i := range n.out {
-			n.far[i] = never
+		for i := range n.arcsFrom {
+			n.pathGain[i] = unreachable
 		}
-		n.far[s] = 0
-		n.line = append(n.line[:0], int32(s))
-		for head := 0; head < len(n.line); head++ {
-			u := n.line[head]
-			n.in[u] = false
-			for _, i := range n.out[u] {
-				if a := &n.arcs[i]; a.room > 0 && n.far[u]+a.gain > n.far[a.to] {
-					n.far[a.to], n.via[a.to] = n.far[u]+a.gain, i
-					if !n.in[a.to] {
-						n.in[a.to] = true
-						n.line = append(n.line, a.to)
+		n.pathGain[source] = 0
+		n.queue = append(n.queue[:0], int32(source))
+		for head := 0; head < len(n.queue); head++ {
+			u := n.queue[head]
+			n.queued[u] = false
+			for _, i := range n.arcsFrom[u] {
+				if a := &n.arcs[i]; a.capacity > 0 && n.pathGain[u]+a.gain > n.pathGain[a.to] {
+					n.pathGain[a.to], n.lastArc[a.to] = n.pathGain[u]+a.gain, i
+					if !n.queued[a.to] {
+						n.queued[a.to] = true
+						n.queue = append(n.queue, a.to)
 					}
 				}
 			}
 		}
-		if n.far[t] <= 0 {
+		if n.pathGain[sink] <= 0 {
 			return sum, true
 		}
-		push := int64(1 << 62)
-		for v := int32(t); v != int32(s); v = n.arcs[n.via[v]^1].to {
-			push = min(push, n.arcs[n.via[v]].room)
+		amount := int64(1 << 62)
+		for v := int32(sink); v != int32(source); v = n.arcs[n.lastArc[v]^1].to {
+			amount = min(amount, n.arcs[n.lastArc[v]].capacity)
 		}
-		for v := int32(t); v != int32(s); v = n.arcs[n.via[v]^1].to {
-			n.arcs[n.via[v]].room -= push
-			n.arcs[n.via[v]^1].room += push
+		for v := int32(sink); v != int32(source); v = n.arcs[n.lastArc[v]^1].to {
+			n.arcs[n.lastArc[v]].capacity -= amount
+			n.arcs[n.lastArc[v]^1].capacity += amount
 		}
-		sum += push * n.far[t]
+		sum += amount * n.pathGain[sink]
 	}
 }
 
-// share is work of one demand served by one copy.
+// share is the part of a demand that one copy serves.
 type share struct {
 	model, demand, worker int
 	mcores                int64
 }
 
-// fine is the part of a point in which flows reckon, so that a toll below one point a unit counts.
-const fine = 4096
+// gainScale is the number of units of gain per point in flows, so that costs below one point per mcore count.
+const gainScale = 4096
 
-// serve finds the best shares for a set of copies: what they serve, less what crosses halls, and less toll for each unit
-// at a copy, in parts of a point, where toll is given.
-func (in *instance) serve(n *network, open func(m, w int) bool, toll func(m, w int) int64, step func() bool) (gain int64, whole bool, shares func() []share) {
+// assignShares finds the shares with the highest gain for the loaded copies. The gain, in points, is the worth of the work served, less
+// the cost of serving it in another hall, less unitCost, if it is not nil, for each mcore that a copy serves, in 1/gainScale of a
+// point. complete is false if spend ended the search early. shares returns the shares and is valid until the network is used again.
+func (in *instance) assignShares(net *network, loaded func(m, w int) bool, unitCost func(m, w int) int64, spend func() bool) (
+	gain int64, complete bool, shares func() []share) {
 	workers := len(in.Workers)
-	type pair struct{ m, w, node int }
-	var pairs []pair
-	nodes := 2 + workers
-	first := make([]int, len(in.Models))
+	type copyNode struct{ m, w, node int }
+	var copyNodes []copyNode
+	nodes := 2 + workers // 0 is the source, 1 the sink, then the workers, the demands and the copies
+	firstDemand := make([]int, len(in.Models))
 	for m := range in.Models {
-		first[m] = nodes
+		firstDemand[m] = nodes
 		nodes += len(in.Models[m].Calls)
 	}
 	for m := range in.Models {
@@ -108,43 +112,44 @@
 			continue
 		}
 		for w := range in.Workers {
-			if open(m, w) {
-				pairs = append(pairs, pair{m, w, nodes})
+			if loaded(m, w) {
+				copyNodes = append(copyNodes, copyNode{m, w, nodes})
 				nodes++
 			}
 		}
 	}
-	n.reset(nodes)
+	net.reset(nodes)
 	for w := range in.Workers {
-		n.join(2+w, 1, in.cpu[w], 0)
+		net.addArc(2+w, 1, in.cpuMcores[w], 0)
 	}
 	for m := range in.Models {
-		for d, c := range in.Models[m].Calls {
-			n.join(0, first[m]+d, c.Mcores, 0)
+		for d, call := range in.Models[m].Calls {
+			net.addArc(0, firstDemand[m]+d, call.Mcores, 0)
 		}
 	}
-	type use struct {
+	type shareArc struct {
 		share
 		arc int
 	}
-	var uses []use
-	for _, p := range pairs {
+	var shareArcs []shareArc
+	for _, node := range copyNodes {
 		cost := int64(0)
-		if toll != nil {
-			cost = toll(p.m, p.w)
+		if unitCost != nil {
+			cost = unitCost(node.m, node.w)
 		}
-		n.join(p.node, 2+p.w, in.Models[p.m].Lanes*in.lane[p.w], -cost)
-		for d, c := range in.Models[p.m].Calls {
-			if g := in.gain(p.m, d, p.w); g > 0 && c.Mcores > 0 {
-				uses = append(uses, use{share{p.m, d, p.w, 0}, n.join(first[p.m]+d, p.node, c.Mcores, g*fine)})
+		net.addArc(node.node, 2+node.w, in.Models[node.m].Lanes*in.laneMcores[node.w], -cost)
+		for d, call := range in.Models[node.m].Calls {
+			if unitGain := in.unitGain(node.m, d, node.w); unitGain > 0 && call.Mcores > 0 {
+				shareArcs = append(shareArcs, shareArc{share{node.m, d, node.w, 0},
+					net.addArc(firstDemand[node.m]+d, node.node, call.Mcores, unitGain*gainScale)})
 			}
 		}
 	}
-	gain, whole = n.run(0, 1, step)
-	return gain / fine, whole, func() (list []share) {
-		for _, u := range uses {
-			if u.mcores = n.arcs[u.arc^1].room; u.mcores > 0 {
-				list = append(list, u.share)
+	gain, complete = net.maximizeGain(0, 1, spend)
+	return gain / gainScale, complete, func() (list []share) {
+		for _, used := range shareArcs {
+			if used.mcores = net.arcs[used.arc^1].capacity; used.mcores > 0 {
+				list = append(list, used.share)
 			}
 		}
 		return list
--- a/internal/plan/greedy.go
+++ b/internal/plan/greedy.go
@@ -6,63 +6,64 @@
 	"slices"
 )
 
-// improve tries greedy placements under many orders of the models, always the same ones, and keeps the best.
-func (s *search) improve(start [][]bool) {
+// improveGreedily tries greedy placements with several orders of the models and keeps the best. The orders are the same in each run.
+func (s *search) improveGreedily(start [][]bool) {
 	rng := rand.New(rand.NewPCG(1, uint64(len(s.Models))))
-	density := make([]float64, len(s.Models)) // worth for each MB
+	worthPerMB := make([]float64, len(s.Models))
 	order := make([]int, len(s.Models))
-	for m, o := range s.Models {
+	for m, model := range s.Models {
 		order[m] = m
-		for _, d := range o.Calls {
-			density[m] += float64(d.Mcores*d.Worth) / float64(max(1, o.MemoryMB))
+		for _, call := range model.Calls {
+			worthPerMB[m] += float64(call.Mcores*call.Worth) / float64(max(1, model.MemoryMB))
 		}
 	}
-	end, best := s.steps+s.meter.most/greedShare, int64(-1<<62)
+	endStep, best := s.steps+s.stepBudget.maxSteps/greedyDivisor, int64(-1<<62)
 	var shares []share
-	for n := 0; n < greedTries && (n == 0 || s.steps < end && !s.over); n++ {
-		noise := make([]float64, len(order))
-		for m := range noise {
-			noise[m] = density[m]
-			if n > 1 {
-				noise[m] *= 0.3 + rng.Float64()
+	for run := 0; run < maxGreedyRuns && (run == 0 || s.steps < endStep && !s.exhausted); run++ {
+		priority := make([]float64, len(order))
+		for m := range priority {
+			priority[m] = worthPerMB[m]
+			if run > 1 {
+				priority[m] *= 0.3 + rng.Float64()
 			}
 		}
-		slices.SortFunc(order, func(a, b int) int { return cmp.Or(cmp.Compare(noise[b], noise[a]), cmp.Compare(a, b)) })
-		for m := range s.x {
-			for w := range s.x[m] {
+		slices.SortFunc(order, func(a, b int) int { return cmp.Or(cmp.Compare(priority[b], priority[a]), cmp.Compare(a, b)) })
+		for m := range s.placed {
+			for w := range s.placed[m] {
 				s.set(m, w, start[m][w])
 			}
 		}
-		if s.greed(order, n%2 == 1); s.score > best {
+		if s.placeGreedily(order, run%2 == 1); s.score > best {
 			best, shares = s.score, s.shares
-			s.keep()
+			s.saveBest()
 		}
 	}
 	s.score, s.shares = best, shares
-	for m := range s.x {
-		for w := range s.x[m] {
-			s.set(m, w, s.best[m][w])
+	for m := range s.placed {
+		for w := range s.placed[m] {
+			s.set(m, w, s.bestPlaced[m][w])
 		}
 	}
 }
 
-// greed takes the models in an order and gives each the copy that adds most, as long as one adds anything; byWorth, it
-// does so for the calls of most worth of all models first. Copies that are there already serve first.
-func (s *search) greed(order []int, byWorth bool) {
-	cpu, lane, left := slices.Clone(s.cpu), grid[int64](s.instance), make([][]int64, len(s.Models))
+// placeGreedily goes through the models in the given order and adds the copy that raises the score most, as long as there is one.
+// With byWorth it goes through the models once for each level of worth, the highest first, and serves only calls of at least that
+// worth. Copies that are already placed serve first.
+func (s *search) placeGreedily(order []int, byWorth bool) {
+	cpu, lane, unserved := slices.Clone(s.cpuMcores), grid[int64](s.instance), make([][]int64, len(s.Models))
 	s.score, s.shares = 0, nil
 	levels := []int64{-1}
-	for m, o := range s.Models {
-		for _, c := range o.Calls {
-			left[m] = append(left[m], c.Mcores)
+	for m, model := range s.Models {
+		for _, call := range model.Calls {
+			unserved[m] = append(unserved[m], call.Mcores)
 			if byWorth {
-				levels = append(levels, c.Worth)
+				levels = append(levels, call.Worth)
 			}
 		}
 		for w := range s.Workers {
-			lane[m][w] = o.Lanes * s.lane[w]
-			if s.present[m][w] && !s.x[m][w] && s.may[m][w] && s.holds[m][w] < 0 { // cheaper to keep than to unload
-				if s.set(m, w, true); !s.within(m, w) {
+			lane[m][w] = model.Lanes * s.laneMcores[w]
+			if s.present[m][w] && !s.placed[m][w] && s.allowed[m][w] && s.copyCost[m][w] < 0 { // cheaper to keep than to unload
+				if s.set(m, w, true); !s.withinLimits(m, w) {
 					s.set(m, w, false)
 				}
 			}
@@ -73,106 +74,108 @@
 	slices.Reverse(levels)
 	for _, level := range levels {
 		for _, m := range order {
-			if s.over {
+			if s.exhausted {
 				break
 			}
-			s.fill(m, level, cpu, lane[m], left[m])
+			s.placeModel(m, level, cpu, lane[m], unserved[m])
 		}
 	}
-	s.score -= s.costs()
+	s.score -= s.placementCost()
 }
 
-// fill serves the calls of a model that are worth at least level.
-func (s *search) fill(m int, level int64, cpu, lane, left []int64) {
-	byGain := make([]int, 0, len(left))
-	for d, c := range s.Models[m].Calls {
-		if c.Worth >= level && left[d] > 0 {
-			byGain = append(byGain, d)
+// placeModel serves the calls of a model whose worth is at least level, and adds copies for them. cpuMcores, laneMcores (by worker)
+// and unserved (by demand) are what remains of each.
+func (s *search) placeModel(m int, level int64, cpuMcores, laneMcores, unserved []int64) {
+	demands := make([]int, 0, len(unserved))
+	for d, call := range s.Models[m].Calls {
+		if call.Worth >= level && unserved[d] > 0 {
+			demands = append(demands, d)
 		}
 	}
-	if len(byGain) == 0 {
+	if len(demands) == 0 {
 		return
 	}
-	serve := func(w int, take func(d int, n int64)) (gain int64) {
-		room := min(cpu[w], lane[w])
-		slices.SortStableFunc(byGain, func(a, b int) int { return cmp.Compare(s.gain(m, b, w), s.gain(m, a, w)) })
-		for _, d := range byGain {
-			if g := s.gain(m, d, w); g > 0 {
-				n := min(room, left[d])
-				room -= n
-				gain += n * g
-				take(d, n)
+	// serve passes to take what a copy on worker w can serve, and returns its worth.
+	serve := func(w int, take func(d int, mcores int64)) (gain int64) {
+		freeMcores := min(cpuMcores[w], laneMcores[w])
+		slices.SortStableFunc(demands, func(a, b int) int { return cmp.Compare(s.unitGain(m, b, w), s.unitGain(m, a, w)) })
+		for _, d := range demands {
+			if unitGain := s.unitGain(m, d, w); unitGain > 0 {
+				mcores := min(freeMcores, unserved[d])
+				freeMcores -= mcores
+				gain += mcores * unitGain
+				take(d, mcores)
 			}
 		}
-		s.step(int64(10 + 10*len(byGain)))
+		s.spend(int64(10 + 10*len(demands)))
 		return gain
 	}
 	use := func(w int) {
-		s.score += serve(w, func(d int, n int64) {
-			if n > 0 {
-				left[d] -= n
-				cpu[w] -= n
-				lane[w] -= n
-				s.shares = append(s.shares, share{m, d, w, n})
+		s.score += serve(w, func(d int, mcores int64) {
+			if mcores > 0 {
+				unserved[d] -= mcores
+				cpuMcores[w] -= mcores
+				laneMcores[w] -= mcores
+				s.shares = append(s.shares, share{m, d, w, mcores})
 			}
 		})
 	}
 	for w := range s.Workers {
-		if s.x[m][w] {
+		if s.placed[m][w] {
 			use(w)
 		}
 	}
-	for !s.over {
-		best, most := -1, int64(0)
+	for !s.exhausted {
+		bestWorker, bestGain := -1, int64(0)
 		for w := range s.Workers {
-			if s.x[m][w] || !s.may[m][w] || min(cpu[w], lane[w]) == 0 {
+			if s.placed[m][w] || !s.allowed[m][w] || min(cpuMcores[w], laneMcores[w]) == 0 {
 				continue
 			}
-			if gain := serve(w, func(int, int64) {}) - s.holds[m][w]; gain > most {
+			if gain := serve(w, func(int, int64) {}) - s.copyCost[m][w]; gain > bestGain {
 				s.set(m, w, true)
-				fits := s.within(m, w)
+				fits := s.withinLimits(m, w)
 				if s.set(m, w, false); fits {
-					best, most = w, gain
+					bestWorker, bestGain = w, gain
 				}
 			}
 		}
-		if best < 0 {
+		if bestWorker < 0 {
 			return
 		}
-		s.set(m, best, true)
-		use(best)
+		s.set(m, bestWorker, true)
+		use(bestWorker)
 	}
 }
 
-// alone returns a bound on each model's part, and its idle: what it is worth with all workers to itself. What models
-// share can only make the sum less.
-func (s *search) alone(steps int64) (apart, idles []int64) {
-	apart, idles = make([]int64, len(s.Models)), make([]int64, len(s.Models))
+// singleModelBounds returns, by model, an upper bound on the score of the model if it had all workers to itself, and its part of
+// unloadAllCost. Models that share workers can only score less, so the sum of the bounds is a bound for all models.
+func (s *search) singleModelBounds(steps int64) (bounds, unloadCosts []int64) {
+	bounds, unloadCosts = make([]int64, len(s.Models)), make([]int64, len(s.Models))
 	for m := range s.Models {
-		q := *s.Problem
-		q.Models, q.Present = q.Models[m:m+1], nil
-		for _, k := range s.Present {
-			if k.Model == q.Models[0].ID {
-				q.Present = append(q.Present, k)
+		single := *s.Problem
+		single.Models, single.Present = single.Models[m:m+1], nil
+		for _, loaded := range s.Present {
+			if loaded.Model == single.Models[0].ID {
+				single.Present = append(single.Present, loaded)
 			}
 		}
-		in := number(&q)
-		t := &meter{most: steps / int64(len(s.Models)), clock: s.clock, end: s.end}
-		idles[m], apart[m] = in.idle, unbounded
-		if s.over {
+		in := newInstance(&single)
+		budget := &stepBudget{maxSteps: steps / int64(len(s.Models)), clock: s.clock, deadline: s.deadline}
+		unloadCosts[m], bounds[m] = in.unloadAllCost, unknownBound
+		if s.exhausted {
 			continue
 		}
-		if start, a := in.feasible(nil, t, t.most); a == yes {
-			o := &search{instance: in, meter: t}
-			o.begin(start)
-			if o.score >= o.bound || o.small && o.branch(0) {
-				apart[m] = o.score
+		if start, outcome := in.findFeasible(nil, budget, budget.maxSteps); outcome == feasible {
+			modelSearch := &search{instance: in, stepBudget: budget}
+			modelSearch.prepare(start)
+			if modelSearch.score >= modelSearch.bound || modelSearch.usesFlows && modelSearch.branch(0) {
+				bounds[m] = modelSearch.score
 			} else {
-				apart[m] = o.bound
+				bounds[m] = modelSearch.bound
 			}
 		}
-		s.step(t.steps)
-		s.over = s.over || t.over && t.steps < t.most // by the clock
+		s.spend(budget.steps)
+		s.exhausted = s.exhausted || budget.exhausted && budget.steps < budget.maxSteps // the time limit has passed
 	}
-	return apart, idles
+	return bounds, unloadCosts
 }
--- a/internal/plan/search.go
+++ b/internal/plan/search.go
@@ -5,33 +5,35 @@
 	"slices"
 )
 
-type pair struct{ m, w int }
+// candidate is a copy, by the indexes of its model and worker, that the search may place.
+type candidate struct{ model, worker int }
 
-// search is branch and bound over the copies.
+// search finds the best placement by branch and bound. It decides the candidates one by one.
 type search struct {
 	*instance
-	*meter
-	net     network
-	small   bool     // enough for flows
-	free    []pair   // what is to be decided, in this order
-	place   [][]int  // of a pair in free, -1 where it is not to be decided
-	at      int      // so many of free are decided
-	x       [][]bool // copies as decided
-	used    []int64  // memory by worker
-	count   []int    // copies by model
-	work    []int64  // all calls of a model
-	apart   []int64  // what a model is worth at most, alone; nil where there is but one
-	idles   []int64  // idle, by model
-	rank    []int    // of a model in the order of free
-	later   []int64  // by rank: apart of the models that come after
-	best    [][]bool
-	shares  []share // of best, where flows are too large
-	score   int64
-	bound   int64
-	loads   int64
-	fetchMs int64
+	*stepBudget
+	net             network
+	usesFlows       bool        // the problem is small enough for network flows and branching
+	candidates      []candidate // in the order in which they are decided
+	candidateIndex  [][]int     // by model and worker: index in candidates, -1 if not a candidate
+	decided         int         // number of candidates that are decided, from the first on
+	placed          [][]bool    // copies of the present placement
+	usedMB          []int64     // by worker: memory of the placed copies
+	copyCount       []int       // by model: number of placed copies
+	modelMcores     []int64     // by model: work of all its calls
+	soloBounds      []int64     // by model: upper bound on its score if it had all workers to itself; nil if there is one model
+	soloUnloadCosts []int64     // by model: its part of unloadAllCost
+	modelRank       []int       // by model: its place in the order of candidates
+	laterBounds     []int64     // by rank: sum of soloBounds of the models of higher rank
+	bestPlaced      [][]bool    // copies of the best placement found
+	shares          []share     // of bestPlaced, if usesFlows is not set
+	score           int64       // of bestPlaced
+	bound           int64       // no placement has a higher score
+	loads           int64       // placed copies that are not present
+	fetchMs         int64       // their load time
 }
 
+// grid returns a zeroed table by model and worker.
 func grid[T any](in *instance) [][]T {
 	g := make([][]T, len(in.Models))
 	for m := range g {
@@ -40,176 +42,181 @@
 	return g
 }
 
-// begin takes a first placement, makes it better by greed, and orders what is to be decided.
-func (s *search) begin(start [][]bool) {
+// prepare improves a first placement greedily, computes the first bounds, and orders the candidates.
+func (s *search) prepare(start [][]bool) {
 	demands := 0
 	for _, m := range s.Models {
 		demands += len(m.Calls)
 	}
-	s.small = demands*len(s.Workers) <= flowLimit
-	s.x, s.best, s.used, s.count = grid[bool](s.instance), grid[bool](s.instance), make([]int64, len(s.Workers)), make([]int, len(s.Models))
-	s.improve(start)
-	s.bound = s.knapsack()
+	s.usesFlows = demands*len(s.Workers) <= maxFlowSize
+	s.placed, s.bestPlaced, s.usedMB, s.copyCount = grid[bool](s.instance), grid[bool](s.instance), make([]int64, len(s.Workers)),
+		make([]int, len(s.Models))
+	s.improveGreedily(start)
+	s.bound = s.knapsackBound()
 	if len(s.Models) > 1 {
-		s.apart, s.idles = s.alone(s.meter.most / aloneShare)
+		s.soloBounds, s.soloUnloadCosts = s.singleModelBounds(s.stepBudget.maxSteps / singleModelDivisor)
 		sum := int64(0)
-		for _, v := range s.apart {
+		for _, v := range s.soloBounds {
 			sum += v
 		}
 		s.bound = min(s.bound, sum)
 	}
-	if !s.small {
+	if !s.usesFlows {
 		return
 	}
-	s.score = s.value()
-	s.keep()
-	for m := range s.x {
-		for w, on := range s.x[m] {
+	s.score = s.placementValue()
+	s.saveBest()
+	for m := range s.placed {
+		for w, on := range s.placed[m] {
 			if on {
 				s.set(m, w, false)
 			}
 		}
 	}
-	s.place = grid[int](s.instance)
+	s.candidateIndex = grid[int](s.instance)
 	worth := make([]int64, len(s.Models))
-	s.work = make([]int64, len(s.Models))
+	s.modelMcores = make([]int64, len(s.Models))
 	for m := range s.Models {
 		for _, d := range s.Models[m].Calls {
-			s.work[m] += d.Mcores
+			s.modelMcores[m] += d.Mcores
 			worth[m] += d.Mcores * d.Worth
 		}
 		for w := range s.Workers {
-			s.place[m][w] = -1
+			s.candidateIndex[m][w] = -1
 			switch {
 			case s.pins[m][w]:
 				s.set(m, w, true)
-			case s.may[m][w] && s.Models[m].MemoryMB <= s.room[w]:
-				s.free = append(s.free, pair{m, w})
+			case s.allowed[m][w] && s.Models[m].MemoryMB <= s.roomMB[w]:
+				s.candidates = append(s.candidates, candidate{m, w})
 			}
 		}
 	}
-	slices.SortStableFunc(s.free, func(a, b pair) int {
-		return cmp.Or(cmp.Compare(worth[b.m], worth[a.m]), cmp.Compare(a.m, b.m), cmp.Compare(s.holds[a.m][a.w], s.holds[b.m][b.w]),
-			cmp.Compare(s.takes(b), s.takes(a)))
+	slices.SortStableFunc(s.candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(worth[b.model], worth[a.model]), cmp.Compare(a.model, b.model),
+			cmp.Compare(s.copyCost[a.model][a.worker], s.copyCost[b.model][b.worker]), cmp.Compare(s.copyCapacity(b), s.copyCapacity(a)))
 	})
-	for i, p := range s.free {
-		s.place[p.m][p.w] = i
+	for i, p := range s.candidates {
+		s.candidateIndex[p.model][p.worker] = i
 	}
-	if s.apart == nil {
+	if s.soloBounds == nil {
 		return
 	}
 	order := make([]int, len(s.Models))
 	for m := range order {
 		order[m] = m
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(worth[b], worth[a]) }) // as in free
-	s.rank, s.later = make([]int, len(order)), make([]int64, len(order))
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(worth[b], worth[a]) }) // as in candidates
+	s.modelRank, s.laterBounds = make([]int, len(order)), make([]int64, len(order))
 	sum := int64(0)
 	for i := len(order) - 1; i >= 0; i-- {
-		s.rank[order[i]], s.later[i] = i, sum
-		sum += s.apart[order[i]]
+		s.modelRank[order[i]], s.laterBounds[i] = i, sum
+		sum += s.soloBounds[order[i]]
 	}
 }
 
+// set places or removes a copy and updates the sums.
 func (s *search) set(m, w int, on bool) {
-	if s.x[m][w] == on {
+	if s.placed[m][w] == on {
 		return
 	}
-	s.x[m][w] = on
+	s.placed[m][w] = on
 	n, mb, ms := 1, s.Models[m].MemoryMB, s.Models[m].LoadMs
 	if !on {
 		n, mb, ms = -1, -mb, -ms
 	}
-	s.count[m] += n
-	s.used[w] += mb
+	s.copyCount[m] += n
+	s.usedMB[w] += mb
 	if !s.present[m][w] {
 		s.loads += int64(n)
 		s.fetchMs += ms
 	}
 }
 
-// within reports whether memory, load and most of what is decided are within the limits.
-func (s *search) within(m, w int) bool {
-	return s.used[w] <= s.room[w] && s.count[m] <= s.mostCopies(m) &&
+// withinLimits reports whether the placed copies keep the limits of the worker's memory, the model's copies and the loads.
+func (s *search) withinLimits(m, w int) bool {
+	return s.usedMB[w] <= s.roomMB[w] && s.copyCount[m] <= s.maxCopies(m) &&
 		(s.Limits.Loads == nil || s.loads <= *s.Limits.Loads) && (s.Limits.FetchMs == nil || s.fetchMs <= *s.Limits.FetchMs)
 }
 
-// enough reports whether a model has, or may still get, what it needs.
-func (s *search) enough(m int) bool {
+// canBeSatisfied reports whether the placed and undecided copies of a model suffice for its least copies and halls.
+func (s *search) canBeSatisfied(m int) bool {
 	copies, halls := 0, map[int]bool{}
 	for w := range s.Workers {
-		if s.x[m][w] || s.open(m, w) {
+		if s.placed[m][w] || s.undecided(m, w) {
 			copies++
-			halls[s.halls[w]] = true
+			halls[s.hallOf[w]] = true
 		}
 	}
-	return copies >= s.need(m) && len(halls) >= s.spread[m]
+	return copies >= s.minCopies(m) && len(halls) >= s.minHalls[m]
 }
 
-// open reports whether a copy is still to be decided.
-func (s *search) open(m, w int) bool { return s.place != nil && s.place[m][w] >= s.at }
+// undecided reports whether a copy is a candidate that has not been decided.
+func (s *search) undecided(m, w int) bool {
+	return s.candidateIndex != nil && s.candidateIndex[m][w] >= s.decided
+}
 
-// costs are the points of what is decided to stand, and of what stands to be unloaded.
-func (s *search) costs() int64 {
-	sum := s.idle
-	for m := range s.x {
-		for w, on := range s.x[m] {
+// placementCost returns the costs of the placed copies and of unloading the other present copies.
+func (s *search) placementCost() int64 {
+	sum := s.unloadAllCost
+	for m := range s.placed {
+		for w, on := range s.placed[m] {
 			if on {
-				sum += s.holds[m][w]
+				sum += s.copyCost[m][w]
 			}
 		}
 	}
 	return sum
 }
 
-// value is what the placement in x is worth.
-func (s *search) value() int64 {
-	gain, _, _ := s.serve(&s.net, func(m, w int) bool { return s.x[m][w] }, nil, s.stepOf)
-	return gain - s.costs()
+// placementValue returns the score of the present placement with its best shares.
+func (s *search) placementValue() int64 {
+	gain, _, _ := s.assignShares(&s.net, func(m, w int) bool { return s.placed[m][w] }, nil, s.spendPath)
+	return gain - s.placementCost()
 }
 
-func (s *search) stepOf() bool { return s.step(int64(len(s.net.arcs))) }
+// spendPath spends the steps of finding one path in the flow network.
+func (s *search) spendPath() bool { return s.spend(int64(len(s.net.arcs))) }
 
-func (s *search) keep() {
-	for m := range s.x {
-		copy(s.best[m], s.x[m])
+func (s *search) saveBest() {
+	for m := range s.placed {
+		copy(s.bestPlaced[m], s.placed[m])
 	}
 }
 
-// branch decides the pairs from at on; false if it was cut off.
-func (s *search) branch(at int) bool {
-	s.at = at
-	bound := s.relaxed()
-	if s.over {
+// branch searches all decisions of the candidates from index from on. It returns false if it was cut off.
+func (s *search) branch(from int) bool {
+	s.decided = from
+	bound := s.relaxedBound()
+	if s.exhausted {
 		return false
 	}
-	if at == 0 {
+	if from == 0 {
 		s.bound = min(s.bound, bound)
 	}
 	if bound <= s.score {
 		return true
 	}
-	if at == len(s.free) {
+	if from == len(s.candidates) {
 		for m := range s.Models {
-			if !s.enough(m) {
+			if !s.canBeSatisfied(m) {
 				return true
 			}
 		}
-		s.score = bound // nothing is open: the bound is the value
-		s.keep()
+		s.score = bound // nothing is undecided, so the bound is the score of the placement
+		s.saveBest()
 		return true
 	}
-	p := s.free[at]
-	first := s.best[p.m][p.w]
-	for _, on := range []bool{first, !first} {
-		s.set(p.m, p.w, on)
-		s.at = at + 1
-		if on && s.within(p.m, p.w) && !s.outdone(at) || !on && s.enough(p.m) {
-			if !s.branch(at + 1) {
+	p := s.candidates[from]
+	preferred := s.bestPlaced[p.model][p.worker]
+	for _, on := range []bool{preferred, !preferred} {
+		s.set(p.model, p.worker, on)
+		s.decided = from + 1
+		if on && s.withinLimits(p.model, p.worker) && !s.dominated(from) || !on && s.canBeSatisfied(p.model) {
+			if !s.branch(from + 1) {
 				return false
 			}
 		}
-		s.set(p.m, p.w, false)
+		s.set(p.model, p.worker, false)
 	}
 	return true
 }
--- a/internal/plan/solve.go
+++ b/internal/plan/solve.go
@@ -5,76 +5,78 @@
 	"time"
 )
 
-// The verdicts.
+// The verdicts of a Plan.
 const (
-	Optimal = "optimal"            // no plan is worth more
-	Best    = "best found"         // cut off; Bound says how much more one could be worth
-	None    = "no plan exists"     // proven; Conflict says why
-	Unknown = "none found in time" // neither a plan nor a proof
+	Optimal   = "optimal"            // no plan has a higher score
+	BestFound = "best found"         // not proven optimal; no plan has a score above Bound
+	NoPlan    = "no plan exists"     // proven; Conflict lists the limits that can't all be kept
+	NoneFound = "none found in time" // the search was cut off before it found a plan or proved that none exists
 )
 
-// Options bound the work. The result depends on Steps alone unless the clock ends it first.
+// Options limit the work of Solve. The result depends only on the problem and on MaxSteps, unless the time limit ends the search
+// first.
 type Options struct {
-	Steps int64                // 0: defaultSteps
-	Clock func() time.Duration // nil: no limit of time
-	Limit time.Duration
+	MaxSteps  int64                // 0 for defaultSteps
+	Clock     func() time.Duration // nil for no time limit
+	TimeLimit time.Duration
 }
 
 const (
-	defaultSteps = 300_000_000 // about a second
-	clockEvery   = 100_000     // steps between two looks at the clock
-	flowLimit    = 40_000      // demands times workers up to which shares are found by flows
-	aloneShare   = 2           // the bounds of single models take this part of the steps,
-	greedShare   = 8           // and the greedy placements this;
-	greedTries   = 40          // so many at most
-	leastShare   = 8           // a conflict's search may take this part of the steps each time
+	defaultSteps       = 300_000_000 // take about a second
+	clockInterval      = 100_000     // steps between two readings of the clock
+	maxFlowSize        = 40_000      // demands times workers, up to which shares are computed as network flows
+	singleModelDivisor = 2           // 1/2 of the steps may be spent on the bounds of single models
+	greedyDivisor      = 8           // 1/8 of the steps may be spent on greedy placements
+	maxGreedyRuns      = 40          // greedy placements that are tried at most
+	feasibilityDivisor = 8           // 1/8 of the steps may be spent on a first placement, and as many on finding a conflict
 )
 
-// meter counts the work and says when it has to end.
-type meter struct {
-	steps, most, look int64
-	clock             func() time.Duration
-	end               time.Duration
-	over              bool
+// stepBudget counts the steps of the search and ends it at the step limit or at the deadline.
+type stepBudget struct {
+	steps, maxSteps, nextClockRead int64
+	clock                          func() time.Duration
+	deadline                       time.Duration
+	exhausted                      bool
 }
 
-func (t *meter) step(n int64) bool {
-	if t.over {
+// spend counts n steps and reports whether the search may go on.
+func (b *stepBudget) spend(n int64) bool {
+	if b.exhausted {
 		return false
 	}
-	if t.steps += n; t.steps >= t.most {
-		t.over = true
-	} else if t.clock != nil && t.steps >= t.look {
-		t.look = t.steps + clockEvery
-		t.over = t.clock() >= t.end
+	if b.steps += n; b.steps >= b.maxSteps {
+		b.exhausted = true
+	} else if b.clock != nil && b.steps >= b.nextClockRead {
+		b.nextClockRead = b.steps + clockInterval
+		b.exhausted = b.clock() >= b.deadline
 	}
-	return !t.over
+	return !b.exhausted
 }
 
-// Solve finds the plan that is worth most, or says why there is none.
-func Solve(p *Problem, o Options) *Plan {
-	t := &meter{most: cmp.Or(o.Steps, defaultSteps), clock: o.Clock}
-	if o.Clock != nil {
-		t.end = o.Clock() + o.Limit
+// Solve returns the plan with the highest score that it finds, or the limits that rule out any plan.
+func Solve(problem *Problem, options Options) *Plan {
+	budget := &stepBudget{maxSteps: cmp.Or(options.MaxSteps, defaultSteps), clock: options.Clock}
+	if options.Clock != nil {
+		budget.deadline = options.Clock() + options.TimeLimit
 	}
-	in := number(p)
-	start, verdict := in.feasible(nil, t, t.most/leastShare)
+	in := newInstance(problem)
+	start, verdict := in.findFeasible(nil, budget, budget.maxSteps/feasibilityDivisor)
 	switch verdict {
-	case no:
-		return &Plan{Verdict: None, Conflict: in.conflict(t), Steps: t.steps}
+	case infeasible:
+		return &Plan{Verdict: NoPlan, Conflict: in.conflict(budget), Steps: budget.steps}
 	case cutOff:
-		return &Plan{Verdict: Unknown, Steps: t.steps}
+		return &Plan{Verdict: NoneFound, Steps: budget.steps}
 	}
-	s := &search{instance: in, meter: t}
-	s.begin(start)
-	proven := s.score >= s.bound || s.small && s.branch(0)
-	for m := range s.x { // the last word on the shares of the best placement
-		copy(s.x[m], s.best[m])
+	s := &search{instance: in, stepBudget: budget}
+	s.prepare(start)
+	proven := s.score >= s.bound || s.usesFlows && s.branch(0)
+	for m := range s.placed { // buildPlan computes the shares of the placement in s.placed
+		copy(s.placed[m], s.bestPlaced[m])
 	}
-	r := s.plan()
-	if r.Verdict = Best; proven {
-		r.Verdict, r.Bound = Optimal, r.Score
+	result := s.buildPlan()
+	if result.Verdict = BestFound; proven {
+		result.Verdict, result.Bound = Optimal, result.Score
 	}
-	r.Steps = t.steps
-	return r
+	result.Steps = budget.steps
+	return result
 }
--- a/internal/plan/verify.go
+++ b/internal/plan/verify.go
@@ -2,71 +2,72 @@
 
 import "fmt"
 
-// Verify checks a plan against its problem: every limit, every share, the price and the moves. It is written from the
-// pages alone and shares nothing with the solver.
-func Verify(p *Problem, r *Plan) error {
-	if r.Verdict != Optimal && r.Verdict != Best {
-		if len(r.Copies)+len(r.Shares)+len(r.Moves) > 0 {
-			return fmt.Errorf("half a plan under the verdict %q", r.Verdict)
+// Verify checks a plan against its problem: every limit, every share, the score and the moves. It is written from the documentation
+// alone and doesn't use the solver.
+func Verify(problem *Problem, result *Plan) error {
+	if result.Verdict != Optimal && result.Verdict != BestFound {
+		if len(result.Copies)+len(result.Shares)+len(result.Moves) > 0 {
+			return fmt.Errorf("half a plan under the verdict %q", result.Verdict)
 		}
 		return nil
 	}
 	workers, models := map[string]Worker{}, map[string]Model{}
-	for _, w := range p.Workers {
+	for _, w := range problem.Workers {
 		workers[w.ID] = w
 	}
-	for _, m := range p.Models {
+	for _, m := range problem.Models {
 		models[m.ID] = m
 	}
-	present, held := map[Copy]bool{}, map[string]int64{}
-	for _, k := range p.Present {
-		if workers[k.Worker].State == "ready" {
-			present[k] = true
-			held[k.Worker] += models[k.Model].MemoryMB
+	present, heldMB := map[Copy]bool{}, map[string]int64{}
+	for _, loaded := range problem.Present {
+		if workers[loaded.Worker].State == "ready" {
+			present[loaded] = true
+			heldMB[loaded.Worker] += models[loaded.Model].MemoryMB
 		}
 	}
-	planned, memory, copies, halls := map[Copy]bool{}, map[string]int64{}, map[string]int64{}, map[string]map[string]bool{}
-	var price Price
-	var loads, fetch int64
-	for _, k := range r.Copies {
-		m, w := models[k.Model], workers[k.Worker]
-		if planned[k] || m.ID == "" || w.State != "ready" {
-			return fmt.Errorf("copy of %s at %s", k.Model, k.Worker)
+	planned, memoryMB, copies, halls := map[Copy]bool{}, map[string]int64{}, map[string]int64{}, map[string]map[string]bool{}
+	var breakdown Breakdown
+	var loads, fetchMs int64
+	for _, placed := range result.Copies {
+		m, w := models[placed.Model], workers[placed.Worker]
+		if planned[placed] || m.ID == "" || w.State != "ready" {
+			return fmt.Errorf("copy of %s at %s", placed.Model, placed.Worker)
 		}
-		planned[k] = true
-		memory[w.ID] += m.MemoryMB
+		planned[placed] = true
+		memoryMB[w.ID] += m.MemoryMB
 		copies[m.ID]++
 		if halls[m.ID] == nil {
 			halls[m.ID] = map[string]bool{}
 		}
 		halls[m.ID][w.Hall] = true
-		price.Memory += m.MemoryMB * p.Prices.Memory / 100
-		if !present[k] {
+		breakdown.Memory += m.MemoryMB * problem.Prices.Memory / 100
+		if !present[placed] {
 			loads++
-			fetch += m.LoadMs
-			price.Load += m.LoadMs * p.Prices.Load / 100
-			price.Move += p.Prices.Move
+			fetchMs += m.LoadMs
+			breakdown.Load += m.LoadMs * problem.Prices.Load / 100
+			breakdown.Move += problem.Prices.Move
 		}
 	}
-	for k := range present {
-		if !planned[k] {
-			price.Move += p.Prices.Move
+	for placed := range present {
+		if !planned[placed] {
+			breakdown.Move += problem.Prices.Move
 		}
 	}
-	for id, mb := range memory {
-		if room := workers[id].MemoryMB * (100 - p.Limits.Headroom) / 100; mb > room {
-			return fmt.Errorf("%d MB at %s, %d fit", mb, id, room)
+	for id, mb := range memoryMB {
+		if roomMB := workers[id].MemoryMB * (100 - problem.Limits.HeadroomPercent) / 100; mb > roomMB {
+			return fmt.Errorf("%d MB at %s, %d fit", mb, id, roomMB)
 		}
 	}
-	if l := p.Limits.Loads; l != nil && loads > *l || p.Limits.FetchMs != nil && fetch > *p.Limits.FetchMs {
-		return fmt.Errorf("%d loads of %d ms", loads, fetch)
+	if maxLoads := problem.Limits.Loads; maxLoads != nil && loads > *maxLoads ||
+		problem.Limits.FetchMs != nil && fetchMs > *problem.Limits.FetchMs {
+		return fmt.Errorf("%d loads of %d ms", loads, fetchMs)
 	}
-	for _, m := range p.Models {
-		spread := m.Halls
-		if p.Limits.SurviveHall && len(m.Calls) > 0 && spread < 2 {
-			spread = 2
+	for _, m := range problem.Models {
+		minHalls := m.MinHalls
+		if problem.Limits.SurviveHall && len(m.Calls) > 0 && minHalls < 2 {
+			minHalls = 2
 		}
-		if copies[m.ID] < m.Least || m.Most > 0 && copies[m.ID] > m.Most || int64(len(halls[m.ID])) < spread {
+		if copies[m.ID] < m.MinCopies || m.MaxCopies > 0 && copies[m.ID] > m.MaxCopies || int64(len(halls[m.ID])) < minHalls {
 			return fmt.Errorf("%d copies of %s in %d halls", copies[m.ID], m.ID, len(halls[m.ID]))
 		}
 		for _, id := range m.Pins {
@@ -82,64 +83,65 @@
 	}
 	type demand struct{ model, class, hall string }
 	wanted, worth := map[demand]int64{}, map[demand]int64{}
-	for _, m := range p.Models {
-		for _, d := range m.Calls {
-			at := demand{m.ID, d.Class, d.Hall}
-			wanted[at] += d.Mcores
-			worth[at] = d.Worth
+	for _, m := range problem.Models {
+		for _, call := range m.Calls {
+			key := demand{m.ID, call.Class, call.Hall}
+			wanted[key] += call.Mcores
+			worth[key] = call.Worth
 		}
 	}
-	cpu, lane := map[string]int64{}, map[Copy]int64{}
-	for _, s := range r.Shares {
-		at, k := demand{s.Model, s.Class, s.Hall}, Copy{s.Model, s.Worker}
-		if !planned[k] || s.Mcores <= 0 {
-			return fmt.Errorf("%d served of %s at %s", s.Mcores, s.Model, s.Worker)
+	cpuMcores, laneMcores := map[string]int64{}, map[Copy]int64{}
+	for _, share := range result.Shares {
+		key, placed := demand{share.Model, share.Class, share.Hall}, Copy{share.Model, share.Worker}
+		if !planned[placed] || share.Mcores <= 0 {
+			return fmt.Errorf("%d served of %s at %s", share.Mcores, share.Model, share.Worker)
 		}
-		cpu[s.Worker] += s.Mcores
-		lane[k] += s.Mcores
-		if wanted[at] -= s.Mcores; wanted[at] < 0 {
-			return fmt.Errorf("more of %v is served than is wanted", at)
+		cpuMcores[share.Worker] += share.Mcores
+		laneMcores[placed] += share.Mcores
+		if wanted[key] -= share.Mcores; wanted[key] < 0 {
+			return fmt.Errorf("more of %v is served than is wanted", key)
 		}
-		price.Worth += s.Mcores * worth[at]
-		if workers[s.Worker].Hall != s.Hall {
-			price.Cross += s.Mcores * p.Prices.Cross
+		breakdown.Worth += share.Mcores * worth[key]
+		if workers[share.Worker].Hall != share.Hall {
+			breakdown.Cross += share.Mcores * problem.Prices.Cross
 		}
 	}
-	for id, n := range cpu {
-		if w := workers[id]; n > w.Cores*w.Speed*10*w.Capacity/100 {
-			return fmt.Errorf("%d mcores at %s", n, id)
+	for id, mcores := range cpuMcores {
+		if w := workers[id]; mcores > w.Cores*w.SpeedPercent*10*w.CapacityPercent/100 {
+			return fmt.Errorf("%d mcores at %s", mcores, id)
 		}
 	}
-	for k, n := range lane {
-		if n > models[k.Model].Lanes*workers[k.Worker].Speed*10 {
-			return fmt.Errorf("%d mcores on the lanes of %s at %s", n, k.Model, k.Worker)
+	for placed, mcores := range laneMcores {
+		if mcores > models[placed.Model].Lanes*workers[placed.Worker].SpeedPercent*10 {
+			return fmt.Errorf("%d mcores on the lanes of %s at %s", mcores, placed.Model, placed.Worker)
 		}
 	}
-	if price != r.Price || price.Score() != r.Score || r.Score > r.Bound {
-		return fmt.Errorf("price %+v, score %d and bound %d are told as %+v, %d", price, price.Score(), r.Bound, r.Price, r.Score)
+	if breakdown != result.Breakdown || breakdown.Score() != result.Score || result.Score > result.Bound {
+		return fmt.Errorf("price %+v, score %d and bound %d are told as %+v, %d", breakdown, breakdown.Score(), result.Bound,
+			result.Breakdown, result.Score)
 	}
-	for _, m := range r.Moves {
-		k := Copy{m.Model, m.Worker}
+	for _, move := range result.Moves {
+		moved := Copy{move.Model, move.Worker}
 		switch {
-		case m.Do == "unload" && present[k]:
-			delete(present, k)
-			held[m.Worker] -= models[m.Model].MemoryMB
-		case m.Do == "load" && !present[k]:
-			present[k] = true
-			held[m.Worker] += models[m.Model].MemoryMB
-			if w := workers[m.Worker]; held[m.Worker] > w.MemoryMB*(100-p.Limits.Headroom)/100 {
-				return fmt.Errorf("%s of %s finds no room at %s", m.Do, m.Model, m.Worker)
+		case move.Do == "unload" && present[moved]:
+			delete(present, moved)
+			heldMB[move.Worker] -= models[move.Model].MemoryMB
+		case move.Do == "load" && !present[moved]:
+			present[moved] = true
+			heldMB[move.Worker] += models[move.Model].MemoryMB
+			if w := workers[move.Worker]; heldMB[move.Worker] > w.MemoryMB*(100-problem.Limits.HeadroomPercent)/100 {
+				return fmt.Errorf("%s of %s finds no room at %s", move.Do, move.Model, move.Worker)
 			}
 		default:
-			return fmt.Errorf("%s of %s at %s", m.Do, m.Model, m.Worker)
+			return fmt.Errorf("%s of %s at %s", move.Do, move.Model, move.Worker)
 		}
 	}
 	if len(present) != len(planned) {
 		return fmt.Errorf("the moves end with %d copies, the plan has %d", len(present), len(planned))
 	}
-	for k := range planned {
-		if !present[k] {
-			return fmt.Errorf("the moves don't load %s at %s", k.Model, k.Worker)
+	for placed := range planned {
+		if !present[placed] {
+			return fmt.Errorf("the moves don't load %s at %s", placed.Model, placed.Worker)
 		}
 	}
 	return nil
