--- a/cmd/quillrail-lab/run.go
+++ b/cmd/quillrail-lab/run.go
@@ -19,18 +19,18 @@
 	"quillrail/internal/lab"
 )
 
-// experiment is the file of a run. Times are in seconds from the first request.
+// experiment is the content of an experiment file. Times are in seconds from the first request.
 type experiment struct {
-	Name     string  `toml:"name"`
-	Seconds  float64 `toml:"seconds"`
-	Gateways int     `toml:"gateways"`
-	Workers  int     `toml:"workers"`
-	Halls    int     `toml:"halls"`
-	Seed     uint64  `toml:"seed"`
-	Fleet    bool    `toml:"fleet"`    // gateways know each other and keep their state on disk
-	StoreAt  int     `toml:"store_at"` // loads at once that push the store over, 0 for never
-	ColdS    float64 `toml:"cold_s"`   // a worker that starts is warm after so long
-	Load     struct {
+	Name       string  `toml:"name"`
+	Seconds    float64 `toml:"seconds"`
+	Gateways   int     `toml:"gateways"`
+	Workers    int     `toml:"workers"`
+	Halls      int     `toml:"halls"`
+	Seed       uint64  `toml:"seed"`
+	Fleet      bool    `toml:"fleet"`    // gateways form a fleet and store their state on disk
+	StoreLimit int     `toml:"store_at"` // more concurrent loads than this overload the store, 0 for no limit
+	ColdS      float64 `toml:"cold_s"`   // how long a worker is cold after its start
+	Load       struct {
 		Rate      float64 `toml:"rate"`
 		Functions int     `toml:"functions"`
 		WaitMs    int     `toml:"wait_ms"`
@@ -38,72 +38,76 @@
 		Keyed     float64 `toml:"keyed"`
 		Tries     int     `toml:"tries"`
 	} `toml:"load"`
-	Fault []lab.Step `toml:"fault"`
+	Faults []lab.Step `toml:"fault"`
 }
 
-func read(path string) (*experiment, error) {
-	var e experiment
-	meta, err := toml.DecodeFile(path, &e)
+// readExperiment reads and checks an experiment file.
+func readExperiment(path string) (*experiment, error) {
+	var exp experiment
+	meta, err := toml.DecodeFile(path, &exp)
 	if err != nil {
 		return nil, err
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("%s: unknown key %s", path, unknown[0])
 	}
-	if e.Seconds <= 0 || e.Seconds > 3600 || e.Load.Rate <= 0 || e.Load.Rate > 20_000 || e.Load.Functions < 1 || e.Load.WaitMs < 1 {
-		return nil, fmt.Errorf("%s: seconds up to 3600, load.rate up to 20000, load.functions and load.wait_ms are needed", path)
+	if exp.Seconds <= 0 || exp.Seconds > 3600 || exp.Load.Rate <= 0 || exp.Load.Rate > 20_000 ||
+		exp.Load.Functions < 1 || exp.Load.WaitMs < 1 {
+		return nil, fmt.Errorf("%s: need seconds up to 3600, load.rate up to 20000, and positive load.functions and load.wait_ms", path)
 	}
-	return &e, nil
+	return &exp, nil
 }
 
-// result is what a run writes as JSON.
+// result is the JSON file of a run.
 type result struct {
-	Name     string             `json:"name"`
-	Totals   lab.Totals         `json:"totals"`
-	Counts   lab.Counts         `json:"counts"`
-	Latency  map[string]float64 `json:"latency_ms"`
-	Lateness float64            `json:"clients_late_p99_ms"`
-	Marks    []lab.Milestone    `json:"marks"`
+	Name       string             `json:"name"`
+	Totals     lab.Totals         `json:"totals"`
+	Counts     lab.Counts         `json:"counts"`
+	Latency    map[string]float64 `json:"latency_ms"`
+	Lateness   float64            `json:"clients_late_p99_ms"`
+	Milestones []lab.Milestone    `json:"marks"`
 }
 
+// run runs an experiment and writes its results.
 func run(_ context.Context, c *cli.Command) error {
 	if c.Args().Len() != 1 {
-		return errors.New("run takes one file")
+		return errors.New("run needs exactly one experiment file")
 	}
-	e, err := read(c.Args().First())
+	exp, err := readExperiment(c.Args().First())
 	if err != nil {
 		return err
 	}
 	out := c.Root().Writer
-	o := lab.Options{Gateways: e.Gateways, Workers: e.Workers, Halls: e.Halls, Seed: e.Seed, Log: out, Fleet: e.Fleet, StoreAt: e.StoreAt,
-		ColdFor: time.Duration(e.ColdS * float64(time.Second))}
-	return with(o, c, func(l *lab.Lab) error {
-		t := l.Start(lab.Load{Rate: e.Load.Rate, Functions: e.Load.Functions, Wait: time.Duration(e.Load.WaitMs) * time.Millisecond,
-			Unsafe: e.Load.Unsafe, Keyed: e.Load.Keyed, Tries: e.Load.Tries})
-		faults := l.Play(e.Fault, time.Duration(e.Seconds*float64(time.Second)))
-		n := t.End()
-		r := result{Name: e.Name, Totals: n, Counts: l.Counts(), Latency: map[string]float64{}, Marks: t.Marks(),
-			Lateness: float64(t.Lateness(99).Microseconds()) / 1000}
-		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(w, "requests\tserved\trefused\tfailed\tunanswered\tunreached\tp50 ms\tp99 ms\tp99.9 ms")
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d", n.Calls, n.Served, n.Refused, n.Failed, n.Unanswered, n.Unreached)
-		for _, q := range []float64{50, 99, 99.9} {
-			ms := float64(t.Latency(q).Microseconds()) / 1000
-			r.Latency[fmt.Sprint("p", q)] = ms
-			fmt.Fprintf(w, "\t%.1f", ms)
+	opts := lab.Options{Gateways: exp.Gateways, Workers: exp.Workers, Halls: exp.Halls, Seed: exp.Seed, Log: out,
+		Fleet: exp.Fleet, StoreLimit: exp.StoreLimit, ColdFor: time.Duration(exp.ColdS * float64(time.Second))}
+	return withFleet(opts, c, func(l *lab.Lab) error {
+		traffic := l.Start(lab.Load{Rate: exp.Load.Rate, Functions: exp.Load.Functions, Wait: time.Duration(exp.Load.WaitMs) * time.Millisecond,
+			Unsafe: exp.Load.Unsafe, Keyed: exp.Load.Keyed, Tries: exp.Load.Tries})
+		runErr := l.RunSteps(exp.Faults, time.Duration(exp.Seconds*float64(time.Second)))
+		totals := traffic.End()
+		r := result{Name: exp.Name, Totals: totals, Counts: l.Counts(), Latency: map[string]float64{}, Milestones: traffic.Milestones(),
+			Lateness: float64(traffic.Lateness(99).Microseconds()) / 1000}
+		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+		fmt.Fprintln(table, "requests\tserved\trefused\tfailed\tunanswered\tunreached\tp50 ms\tp99 ms\tp99.9 ms")
+		fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t%d", totals.Calls, totals.Served, totals.Refused, totals.Failed, totals.Unanswered,
+			totals.Unreached)
+		for _, percentile := range []float64{50, 99, 99.9} {
+			ms := float64(traffic.Latency(percentile).Microseconds()) / 1000
+			r.Latency[fmt.Sprint("p", percentile)] = ms
+			fmt.Fprintf(table, "\t%.1f", ms)
 		}
-		fmt.Fprintln(w)
-		w.Flush()
-		fmt.Fprintf(out, "clients began %.1f ms late at the 99th percentile\n%s\n", r.Lateness, l.Figures(n))
-		if broken := l.Broken(n); broken != "" {
-			faults = errors.Join(faults, errors.New(broken))
+		fmt.Fprintln(table)
+		table.Flush()
+		fmt.Fprintf(out, "clients began %.1f ms late at the 99th percentile\n%s\n", r.Lateness, l.Summary(totals))
+		if violations := l.Violations(totals); violations != "" {
+			runErr = errors.Join(runErr, errors.New(violations))
 		}
-		return errors.Join(faults, write(r, filepath.Join(c.String("out"), e.Name)))
+		return errors.Join(runErr, writeResult(r, filepath.Join(c.String("out"), exp.Name)))
 	})
 }
 
-// write writes the JSON and the plot of requests by how they ended.
-func write(r result, path string) error {
+// writeResult writes the result as JSON, and a plot of requests by their outcome, to files with this path and an extension.
+func writeResult(r result, path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
 		return err
@@ -120,12 +124,13 @@
 	}{{"served", func(t lab.Totals) int { return t.Served }}, {"refused", func(t lab.Totals) int { return t.Refused }},
 		{"failed, unanswered", func(t lab.Totals) int { return t.Failed + t.Unanswered + t.Unreached }}} {
 		var points plotter.XYs
-		for j, k := 0, 0; j < len(r.Marks); j++ {
-			for r.Marks[j].At-r.Marks[k].At > time.Second {
+		for j, k := 0, 0; j < len(r.Milestones); j++ {
+			for r.Milestones[j].At-r.Milestones[k].At > time.Second {
 				k++
 			}
-			if d := (r.Marks[j].At - r.Marks[k].At).Seconds(); d > 0 {
-				points = append(points, plotter.XY{X: r.Marks[j].At.Seconds(), Y: float64(line.of(r.Marks[j].Totals)-line.of(r.Marks[k].Totals)) / d})
+			if d := (r.Milestones[j].At - r.Milestones[k].At).Seconds(); d > 0 {
+				points = append(points, plotter.XY{X: r.Milestones[j].At.Seconds(),
+					Y: float64(line.of(r.Milestones[j].Totals)-line.of(r.Milestones[k].Totals)) / d})
 			}
 		}
 		if len(points) == 0 {
--- a/cmd/quillrail-lab/scaleplot.go
+++ b/cmd/quillrail-lab/scaleplot.go
@@ -12,15 +12,15 @@
 	"quillrail/internal/lab/scale"
 )
 
-// slope is one figure against a size, with the size of the target.
-type slope struct {
-	file, x, y string
-	target     float64 // on x
-	most       float64 // on y, 0 for none
+// chart plots one measurement over the size of the fleet or the list, with the target's size and limit.
+type chart struct {
+	file, x, y string  // file name without extension, and labels of the axes
+	target     float64 // size of the target, on x
+	limit      float64 // limit of the measurement, on y; 0 for none
 	points     plotter.XYs
 }
 
-// plotScale draws each slope into a folder.
+// plotScale draws all charts with at least two points as SVG files into a folder.
 func plotScale(r *scale.Result, folder string) error {
 	var call, timer, list, core, bytes, force plotter.XYs
 	for _, x := range r.Routers {
@@ -33,49 +33,50 @@
 	for _, x := range r.Fleets {
 		g := float64(x.Gateways)
 		core, bytes, force = append(core, plotter.XY{X: g, Y: 100 * x.CorePart}), append(bytes, plotter.XY{X: g, Y: x.SentPerSec}),
-			append(force, plotter.XY{X: g, Y: x.ForceMs[2]})
+			append(force, plotter.XY{X: g, Y: x.InForceMs[2]})
 	}
 	workers, gateways := float64(scale.Target.Workers), float64(scale.Target.Gateways)
-	for _, s := range []slope{{"scale-first-call", "workers", "first call of a function, us", workers, 200, call},
+	for _, c := range []chart{{"scale-first-call", "workers", "first call of a function, us", workers, 200, call},
 		{"scale-timer", "workers", "timer, us", workers, 50, timer}, {"scale-list", "workers", "list, MB", workers, 16, list},
 		{"scale-core", "gateways", "a gateway's control, % of a core", gateways, 100 * scale.Target.CorePart, core},
 		{"scale-bytes", "gateways", "a gateway's control, bytes sent a second", gateways, scale.Target.BytesPerSec, bytes},
 		{"scale-force", "gateways", "a change in force everywhere, ms", gateways, float64(scale.Target.InForce.Milliseconds()), force}} {
-		if len(s.points) < 2 {
+		if len(c.points) < 2 {
 			continue
 		}
-		if err := s.draw(filepath.Join(folder, s.file+".svg")); err != nil {
+		if err := c.draw(filepath.Join(folder, c.file+".svg")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s slope) draw(path string) error {
+// draw draws the chart into a file.
+func (c chart) draw(path string) error {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text, p.Y.Min = s.x, s.y, 0
-	line, dots, err := plotter.NewLinePoints(s.points)
+	p.X.Label.Text, p.Y.Label.Text, p.Y.Min = c.x, c.y, 0
+	line, dots, err := plotter.NewLinePoints(c.points)
 	if err != nil {
 		return err
 	}
 	dots.Shape = draw.CircleGlyph{}
 	p.Add(line, dots)
-	if s.most > 0 {
-		most, err := plotter.NewLine(plotter.XYs{{X: 0, Y: s.most}, {X: s.target, Y: s.most}})
+	if c.limit > 0 {
+		limitLine, err := plotter.NewLine(plotter.XYs{{X: 0, Y: c.limit}, {X: c.target, Y: c.limit}})
 		if err != nil {
 			return err
 		}
-		most.Dashes = []vg.Length{vg.Points(4), vg.Points(2)}
-		p.Add(most)
-		p.Legend.Add("what the target allows", most)
+		limitLine.Dashes = []vg.Length{vg.Points(4), vg.Points(2)}
+		p.Add(limitLine)
+		p.Legend.Add("what the target allows", limitLine)
 	}
-	mark, err := plotter.NewLine(plotter.XYs{{X: s.target, Y: 0}, {X: s.target, Y: max(s.most, s.points[len(s.points)-1].Y)}})
+	targetLine, err := plotter.NewLine(plotter.XYs{{X: c.target, Y: 0}, {X: c.target, Y: max(c.limit, c.points[len(c.points)-1].Y)}})
 	if err != nil {
 		return err
 	}
-	mark.Color = color.Gray{Y: 128}
-	p.Add(mark)
-	p.Legend.Add("the target's size", mark)
+	targetLine.Color = color.Gray{Y: 128}
+	p.Add(targetLine)
+	p.Legend.Add("the target's size", targetLine)
 	p.Legend.Top = true
 	return p.Save(16*vg.Centimeter, 9*vg.Centimeter, path)
 }
--- a/internal/fleettest/agreed_test.go
+++ b/internal/fleettest/agreed_test.go
@@ -12,7 +12,7 @@
 
 // seven is the fleet of these tests: 7 gateways in 3 halls, of which 3 hold the log, one in each hall.
 func seven(settings string) lab.Options {
-	return lab.Options{Gateways: 7, Workers: 9, Halls: 3, Fleet: true, Voters: 3, Settings: settings}
+	return lab.Options{Gateways: 7, Workers: 9, Halls: 3, Fleet: true, Voters: 3, FleetSettings: settings}
 }
 
 // two lets two gateways and two workers be out at once.
@@ -67,7 +67,7 @@
 // within a second what came of it.
 func asked(t *testing.T, g *lab.Gateway, call string) string {
 	t.Helper()
-	text, err := g.Ask(call)
+	text, err := g.SendCommand(call)
 	if again := err == nil && strings.HasPrefix(text, undecided); again {
 		text, err = await(g, call, eventLimit, func(text string) bool { return !strings.HasPrefix(text, undecided) })
 		if err == nil && cameThrough(g, call, text) {
@@ -104,7 +104,7 @@
 func answered(t *testing.T, n lab.Totals, tr *lab.Traffic) {
 	t.Helper()
 	if n.Unanswered+n.Unreached > 0 {
-		t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 }
 
--- a/internal/fleettest/alone_test.go
+++ b/internal/fleettest/alone_test.go
@@ -9,20 +9,20 @@
 func TestAgreedChangeWithoutMajority(t *testing.T) {
 	beside(t)
 	o := seven("")
-	o.Paths = true
+	o.PeerRelays = true
 	l := start(t, o)
 	tr := l.Start(mixed)
 	settled(t, l)
 	l.Partition([]int{0}, []int{1, 2, 3, 4, 5, 6})
 	saying(t, l.Gateways[0], "no majority is heard")
-	if text, err := l.Gateways[0].Ask("drain by=anna"); err != nil || !strings.HasPrefix(text, "FAILURE it was not agreed") {
+	if text, err := l.Gateways[0].SendCommand("drain by=anna"); err != nil || !strings.HasPrefix(text, "FAILURE it was not agreed") {
 		t.Errorf("a drain without a majority: %q, %v", text, err)
 	}
-	if text, _ := l.Gateways[0].Ask("ready"); !strings.HasPrefix(text, "SUCCESS") {
+	if text, _ := l.Gateways[0].SendCommand("ready"); !strings.HasPrefix(text, "SUCCESS") {
 		t.Errorf("it is drained all the same: %s", text)
 	}
 	asked(t, l.Gateways[0], "drain emergency by=anna why=it burns")
-	if text, _ := l.Gateways[0].Ask("ready"); strings.HasPrefix(text, "SUCCESS") {
+	if text, _ := l.Gateways[0].SendCommand("ready"); strings.HasPrefix(text, "SUCCESS") {
 		t.Errorf("an emergency word did not go through: %s", text)
 	}
 	if second := asked(t, l.Gateways[4], "drain by=boris"); !strings.Contains(second, "waits: 1 of at most 1 gateways are out: gw1") {
@@ -51,11 +51,11 @@
 	saying(t, l.Gateways[1], "batch 2 of 5")
 	l.PowerLoss(l.Gateways, nil)
 	for _, i := range []int{1, 4, 6} { // one of the three voters among them
-		if err := l.Gateways[i].Disk("empty"); err != nil {
+		if err := l.Gateways[i].AlterDisk("empty"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := l.PowerBack(l.Gateways, nil); err != nil {
+	if err := l.PowerRestore(l.Gateways, nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Log(saying(t, l.Gateways[3], "halted forwards.*(lost power|majority)"))
@@ -64,6 +64,6 @@
 	saying(t, l.Gateways[2], "release two .* done")
 	until(t, l.Gateways, nobodyOut)
 	if n := verdict(t, l, tr); n.Unanswered > 0 {
-		t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 }
--- a/internal/fleettest/clock_test.go
+++ b/internal/fleettest/clock_test.go
@@ -17,7 +17,7 @@
 	for name, step := range map[string]time.Duration{"forward": time.Hour, "back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			beside(t)
-			l := start(t, lab.Options{Workers: 3, PerSecond: 45, ClockFile: filepath.Join(t.TempDir(), "clock")})
+			l := start(t, lab.Options{Workers: 3, CallsPerSecond: 45, ClockFile: filepath.Join(t.TempDir(), "clock")})
 			tr := l.Start(mixed)
 			served(t, tr, 300)
 			if err := l.StepClocks(step); err != nil {
@@ -39,7 +39,7 @@
 			n := verdict(t, l, tr)
 			mostServed(t, n)
 			if n.Unanswered+n.Unreached > 0 {
-				t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+				t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	restarted, others := l.Gateways[1], []*lab.Gateway{l.Gateways[0], l.Gateways[2]}
 	earlier := incarnationServing(t, others[0], restarted.Name, 0)
 	restarted.Kill()
-	if err := restarted.Disk("empty"); err != nil {
+	if err := restarted.AlterDisk("empty"); err != nil {
 		t.Fatal(err)
 	}
 	if err := restarted.Start(); err != nil {
@@ -70,14 +70,14 @@
 		incarnationServing(t, g, restarted.Name, earlier)
 	}
 	w := l.Workers[0]
-	if text, err := restarted.Ask("disable-server " + w.Name()); err != nil || !strings.HasPrefix(text, "SUCCESS") {
+	if text, err := restarted.SendCommand("disable-server " + w.Name()); err != nil || !strings.HasPrefix(text, "SUCCESS") {
 		t.Fatalf("disable-server: %q, %v", text, err)
 	}
 	until(t, l.Gateways, func(*lab.Gateway) string { return "svc.pool_ejected:1|g" })
-	w.Banned()
+	w.MarkBanned()
 	served(t, tr, 300)
 	if n := verdict(t, l, tr); n.Unanswered+n.Unreached > 0 {
-		t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 }
 
--- a/internal/fleettest/cost_test.go
+++ b/internal/fleettest/cost_test.go
@@ -21,10 +21,10 @@
 			}
 			l := start(t, o)
 			warm := l.Start(mixed)
-			warm.Served(1200, eventLimit)
+			warm.AwaitServed(1200, eventLimit)
 			warm.End()
 			tr := l.Start(lab.Load{Rate: 200, Functions: 12, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 3})
-			tr.Served(4000, eventLimit)
+			tr.AwaitServed(4000, eventLimit)
 			n := tr.End()
 			t.Logf("figures: agree=%v calls=%d served=%d p50=%v p99=%v p99.9=%v of clients late p99=%v", on, n.Calls, n.Served, tr.Latency(50), tr.Latency(99),
 				tr.Latency(99.9), tr.Lateness(99))
@@ -48,13 +48,13 @@
 			until(t, l.Gateways, func(*lab.Gateway) string { return "svc.fleet.agreed.restrictions:1|g" })
 		}
 		l.Confine(0, 1)
-		tr.Served(900, eventLimit)
+		tr.AwaitServed(900, eventLimit)
 		begun := time.Now()
 		hallDown(t, l, 0, true)
 		<-time.After(11 * time.Second)
 		first, after := 5*time.Second, 4*time.Second
-		t.Logf("figures: pinned=%q worth_command=%.3f worth_read=%.3f in the first 5 s, then worth_command=%.3f worth_read=%.3f outside=%d", classes, tr.Worth(begun, first, 1),
-			tr.Worth(begun, first, 0), tr.Worth(begun.Add(first), after, 1), tr.Worth(begun.Add(first), after, 0), l.Counts().Outside)
+		t.Logf("figures: pinned=%q worth_command=%.3f worth_read=%.3f in the first 5 s, then worth_command=%.3f worth_read=%.3f outside=%d", classes, tr.WorthServed(begun, first, 1),
+			tr.WorthServed(begun, first, 0), tr.WorthServed(begun.Add(first), after, 1), tr.WorthServed(begun.Add(first), after, 0), l.Counts().OutsideHalls)
 		tr.End()
 		l.Close()
 	}
--- a/internal/fleettest/crossing_test.go
+++ b/internal/fleettest/crossing_test.go
@@ -25,7 +25,7 @@
 // by the same word.
 func TestWordCrossesTheUseOfAPermit(t *testing.T) {
 	beside(t)
-	l := start(t, lab.Options{Gateways: 3, Halls: 3, Fleet: true, Voters: 3, Settings: two, Paths: true})
+	l := start(t, lab.Options{Gateways: 3, Halls: 3, Fleet: true, Voters: 3, FleetSettings: two, PeerRelays: true})
 	tr := l.Start(mixed)
 	settled(t, l)
 	slowPaths(l)
@@ -35,10 +35,10 @@
 		asking := make(chan struct{})
 		go func() {
 			defer close(asking)
-			l.Gateways[(round+1)%3].Ask("disable-server " + worker + " by=anna")
+			l.Gateways[(round+1)%3].SendCommand("disable-server " + worker + " by=anna")
 		}()
 		saying(t, g, "worker "+worker+" .*granted")
-		text, err := g.Ask("enable-server " + worker + " by=boris")
+		text, err := g.SendCommand("enable-server " + worker + " by=boris")
 		if late := strings.Contains(text, "it may still come"); err != nil || !late && !strings.HasPrefix(text, "SUCCESS") {
 			t.Errorf("round %d: the worker is called back: %q, %v", round, text, err)
 		}
@@ -50,7 +50,7 @@
 		asking := make(chan struct{})
 		go func() {
 			defer close(asking)
-			g.Ask("drain by=anna")
+			g.SendCommand("drain by=anna")
 		}()
 		saying(t, g, "gateway "+g.Name+" .*granted")
 		asked(t, g, "resume")
@@ -61,6 +61,6 @@
 		}
 	}
 	if n := verdict(t, l, tr); n.Unanswered+n.Unreached > 0 {
-		t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 }
--- a/internal/fleettest/cut_test.go
+++ b/internal/fleettest/cut_test.go
@@ -25,7 +25,7 @@
 // await makes an operators' call again and again until the answer is as it is to be, at most for limit. It returns the last one.
 func await(g *lab.Gateway, call string, limit time.Duration, ok func(text string) bool) (text string, err error) {
 	late := waitFor(limit, func() bool {
-		text, err = g.Ask(call)
+		text, err = g.SendCommand(call)
 		return err == nil && ok(text)
 	})
 	if late != nil {
@@ -55,7 +55,7 @@
 // Five gateways under load are cut in two. Each part takes itself for the fleet and serves; an operators' word at one of
 // them reaches its own part at once and the other when the cut is over, and the worker gets nothing from then on.
 func TestCut(t *testing.T) {
-	l := start(t, lab.Options{Gateways: 5, Workers: 5, Halls: 2, Fleet: true, Paths: true})
+	l := start(t, lab.Options{Gateways: 5, Workers: 5, Halls: 2, Fleet: true, PeerRelays: true})
 	tr := l.Start(mixed)
 	until(t, l.Gateways, func(*lab.Gateway) string { return knows(5) })
 	l.Partition([]int{0, 1, 2}, []int{3, 4})
@@ -66,27 +66,27 @@
 		return knows(3)
 	})
 	w := l.Workers[0]
-	if text, err := l.Gateways[0].Ask("disable-server " + w.Name()); err != nil || !strings.HasPrefix(text, "SUCCESS") {
+	if text, err := l.Gateways[0].SendCommand("disable-server " + w.Name()); err != nil || !strings.HasPrefix(text, "SUCCESS") {
 		t.Fatalf("disable-server: %q, %v", text, err)
 	}
 	left := func(n int) func(*lab.Gateway) string {
 		return func(*lab.Gateway) string { return fmt.Sprintf("svc.pool_ejected:%d|g", n) }
 	}
 	until(t, l.Gateways[:3], left(1))
-	if text, _ := l.Gateways[3].Ask("show-stat"); !strings.Contains(text, "svc.pool_ejected:0|g") {
+	if text, _ := l.Gateways[3].SendCommand("show-stat"); !strings.Contains(text, "svc.pool_ejected:0|g") {
 		t.Errorf("a word has passed the cut: %s", text)
 	}
-	if !tr.Served(200, eventLimit) {
+	if !tr.AwaitServed(200, eventLimit) {
 		t.Errorf("the parts do not serve: %+v", tr.Totals())
 	}
 	l.Heal()
 	until(t, l.Gateways, func(*lab.Gateway) string { return knows(5) })
 	until(t, l.Gateways, left(1))
-	w.Banned()
-	if !tr.Served(200, eventLimit) {
+	w.MarkBanned()
+	if !tr.AwaitServed(200, eventLimit) {
 		t.Errorf("the fleet does not serve: %+v", tr.Totals())
 	}
 	if n := verdict(t, l, tr); n.Unanswered+n.Unreached > 0 {
-		t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 }
--- a/internal/fleettest/faults_test.go
+++ b/internal/fleettest/faults_test.go
@@ -29,7 +29,7 @@
 // leader is the gateway that leads the agreement, one that is drawn if nobody is known to.
 func (s *storm) leader() int {
 	for _, g := range s.l.Gateways {
-		if text, err := g.Ask("agreed"); err == nil {
+		if text, err := g.SendCommand("agreed"); err == nil {
 			if m := leads.FindStringSubmatch(text); m != nil {
 				i, _ := strconv.Atoi(m[1][2:])
 				return i - 1
@@ -40,7 +40,7 @@
 }
 
 // while has a few hundred requests served, so that a fault lasts for a second or two.
-func (s *storm) while() { s.tr.Served(80+s.rng.IntN(200), eventLimit) }
+func (s *storm) while() { s.tr.AwaitServed(80+s.rng.IntN(200), eventLimit) }
 
 func (s *storm) parts(n int) [][]int {
 	out := make([][]int, n)
@@ -98,7 +98,7 @@
 	g := s.l.Gateways[i]
 	g.Kill()
 	if disk != "" {
-		g.Disk(disk)
+		g.AlterDisk(disk)
 	}
 	s.while()
 	if err := g.Start(); err != nil {
@@ -113,7 +113,7 @@
 	say := []string{"drain by=anna", "drain by=boris", "resume", "resume", "disable-server " + w + " by=anna", "enable-server " + w + " by=anna",
 		"declare continue name=two by=anna", "declare halt name=two by=boris", "declare back name=two by=boris"}
 	if call := say[s.rng.IntN(len(say))]; g.Process() != nil {
-		g.Ask(call)
+		g.SendCommand(call)
 		s.n["words"]++
 	}
 }
@@ -127,17 +127,17 @@
 	for {
 		busy := ""
 		for _, g := range s.l.Gateways {
-			g.Ask("resume")
-			text, err := g.Ask("agreed")
+			g.SendCommand("resume")
+			text, err := g.SendCommand("agreed")
 			if err != nil {
 				busy = err.Error()
 				continue
 			}
 			if strings.Contains(text, "release two") && strings.Contains(text, "halted") {
-				g.Ask("declare continue name=two by=anna")
+				g.SendCommand("declare continue name=two by=anna")
 			}
 			for _, m := range regexp.MustCompile(`(?m)^(?:out: worker|waits: permit \d+ of \w+ for worker) (\S+?)[: ]`).FindAllStringSubmatch(text, -1) {
-				g.Ask("enable-server " + m[1] + " by=anna")
+				g.SendCommand("enable-server " + m[1] + " by=anna")
 			}
 			if regexp.MustCompile(`(?m)^(out|waits):|halted|running|learning|no majority|not known`).MatchString(text) {
 				busy = text
@@ -164,7 +164,7 @@
 		rounds = n
 	}
 	o := seven(two)
-	o.Paths = true
+	o.PeerRelays = true
 	l := start(t, o)
 	tr, w := l.Start(lab.Load{Rate: 150, Functions: 12, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 4}), l.Watch(2)
 	settled(t, l)
@@ -185,7 +185,7 @@
 	times, most, over := w.End()
 	n := verdict(t, l, tr)
 	t.Logf("figures: gateways=7 faults=%d words=%d out=%d most=%d over=%d outside=%d unanswered=%d lost_in_hand=%d twice=%d calls=%d", rounds, s.n["words"], times,
-		most, over, l.Counts().Outside, n.Unanswered, n.InHand, l.Counts().Twice, n.Calls)
+		most, over, l.Counts().OutsideHalls, n.Unanswered, n.LostInFlight, l.Counts().RanTwice, n.Calls)
 	if over > 0 {
 		t.Errorf("%d times more were out than may be", over)
 	}
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -91,12 +91,12 @@
 func verdict(t *testing.T, l *lab.Lab, tr *lab.Traffic) lab.Totals {
 	t.Helper()
 	n := tr.End()
-	t.Log(l.Figures(n))
+	t.Log(l.Summary(n))
 	t.Logf("latency p50=%v p99=%v of clients late p99=%v", tr.Latency(50), tr.Latency(99), tr.Lateness(99))
-	if broken := l.Broken(n); broken != "" {
+	if broken := l.Violations(n); broken != "" {
 		t.Error(broken)
 	}
-	if n.Calls != n.Served+n.Refused+n.Failed+n.Unanswered+n.InHand+n.Unreached+n.Wrong {
+	if n.Calls != n.Served+n.Refused+n.Failed+n.Unanswered+n.LostInFlight+n.Unreached+n.Wrong {
 		t.Errorf("requests that have no end: %+v", n)
 	}
 	return n
@@ -109,17 +109,17 @@
 func TestOneGatewayIsKilled(t *testing.T) {
 	l := start(t, lab.Options{})
 	tr := l.Start(mixed)
-	if !tr.Served(200, eventLimit) {
+	if !tr.AwaitServed(200, eventLimit) {
 		t.Fatalf("nothing is served: %+v\n%s", tr.Totals(), l.Gateways[0].Process().Log())
 	}
 	l.Gateways[1].Kill()
-	if !tr.Served(200, eventLimit) {
+	if !tr.AwaitServed(200, eventLimit) {
 		t.Errorf("two gateways do not serve: %+v", tr.Totals())
 	}
 	if err := l.Gateways[1].Start(); err != nil {
 		t.Fatal(err)
 	}
-	if !tr.Served(200, eventLimit) {
+	if !tr.AwaitServed(200, eventLimit) {
 		t.Errorf("the fleet does not serve again: %+v", tr.Totals())
 	}
 	if verdict(t, l, tr); l.Counts().Kills != 1 {
@@ -134,7 +134,7 @@
 	tr := l.Start(mixed)
 	step := func(what func() error) {
 		t.Helper()
-		if !tr.Served(120, eventLimit) {
+		if !tr.AwaitServed(120, eventLimit) {
 			t.Fatalf("the fleet does not serve: %+v", tr.Totals())
 		}
 		if err := what(); err != nil {
@@ -149,7 +149,7 @@
 	step(func() error { l.Gateways[0].Link(3).Heal(); return nil })
 	step(func() error { return nil })
 	if n := verdict(t, l, tr); n.Unanswered+n.Unreached > 0 {
-		t.Errorf("requests were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("requests were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 }
 
@@ -158,22 +158,22 @@
 // have to fail what is open when its time is over.
 func TestPlannedRestart(t *testing.T) {
 	l := start(t, lab.Options{})
-	tr := l.Start(lab.Load{Lines: 3, Functions: 6, Wait: 2 * time.Second, Unsafe: 0.3, Keyed: 0.3})
+	tr := l.Start(lab.Load{PersistentClients: 3, Functions: 6, Wait: 2 * time.Second, Unsafe: 0.3, Keyed: 0.3})
 	for _, g := range l.Gateways {
-		if !tr.Served(150, eventLimit) {
-			t.Fatalf("the fleet does not serve: %+v\n%q", tr.Totals(), tr.Faults())
+		if !tr.AwaitServed(150, eventLimit) {
+			t.Fatalf("the fleet does not serve: %+v\n%q", tr.Totals(), tr.ErrorSamples())
 		}
 		if err := g.Terminate(); err != nil {
 			t.Fatalf("%s: %v\n%s", g.Name, err, g.Process().Log())
 		}
-		if !tr.Served(150, eventLimit) {
-			t.Fatalf("the others do not serve: %+v\n%q", tr.Totals(), tr.Faults())
+		if !tr.AwaitServed(150, eventLimit) {
+			t.Fatalf("the others do not serve: %+v\n%q", tr.Totals(), tr.ErrorSamples())
 		}
 		if err := g.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if n := verdict(t, l, tr); n.Failed+n.Unanswered+n.Unreached > 0 || l.Counts().Crossed > 0 {
-		t.Errorf("calls were lost, or sent again (%d): %+v\n%q", l.Counts().Crossed, n, tr.Faults())
+		t.Errorf("calls were lost, or sent again (%d): %+v\n%q", l.Counts().Crossed, n, tr.ErrorSamples())
 	}
 }
--- a/internal/fleettest/folder_test.go
+++ b/internal/fleettest/folder_test.go
@@ -29,7 +29,7 @@
 			return sysfault.Outcome{Errno: errno}
 		}
 		cut = c.Number == unix.SYS_PWRITE64 || c.Number == unix.SYS_WRITE
-		return sysfault.Outcome{Half: cut}
+		return sysfault.Outcome{HalfWrite: cut}
 	}
 }
 
@@ -76,7 +76,7 @@
 			}
 			t.Logf("%d writes failed", failed)
 			if n := verdict(t, l, tr); n.Unanswered+n.Unreached > 0 || failed == 0 {
-				t.Errorf("calls were lost, or no write failed (%d): %+v\n%q", failed, n, tr.Faults())
+				t.Errorf("calls were lost, or no write failed (%d): %+v\n%q", failed, n, tr.ErrorSamples())
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 	for name, errno := range map[string]unix.Errno{"no room": unix.ENOSPC, "bad disk": unix.EIO} {
 		t.Run(name, func(t *testing.T) {
 			beside(t)
-			l := prepare(t, lab.Options{Gateways: 3, Halls: 3, Fleet: true, Voters: 3, Settings: two})
+			l := prepare(t, lab.Options{Gateways: 3, Halls: 3, Fleet: true, Voters: 3, FleetSettings: two})
 			supervisors := startSupervised(t, l, writes...)
 			tr := l.Start(mixed)
 			settled(t, l)
--- a/internal/fleettest/freeze_test.go
+++ b/internal/fleettest/freeze_test.go
@@ -30,7 +30,7 @@
 // begins anew in its middle with an empty disk, while every gateway gets configurations.
 func feast(t *testing.T, without string) (f frozen) {
 	o := seven("[freeze]\nahead_s = 2.0\nclock_bound_ms = 300\n")
-	o.Paths, o.EnvOf = true, clocks
+	o.PeerRelays, o.EnvOf = true, clocks
 	if without != "" {
 		o.Env = []string{"QUILLRAIL_TEST_GUARD=" + without}
 	}
@@ -38,7 +38,7 @@
 	tr := l.Start(mixed)
 	settled(t, l)
 	rng := rand.New(rand.NewPCG(seed(), 12))
-	configure := func(g *lab.Gateway, n int) *lab.Taken {
+	configure := func(g *lab.Gateway, n int) *lab.ConfigChange {
 		x, err := g.Configure(fmt.Sprint("r", n))
 		if err != nil {
 			t.Fatal(err)
@@ -46,9 +46,9 @@
 		f.given++
 		return x
 	}
-	for _, x := range []*lab.Taken{configure(l.Gateways[1], 2), configure(l.Gateways[5], 2)} {
+	for _, x := range []*lab.ConfigChange{configure(l.Gateways[1], 2), configure(l.Gateways[5], 2)} {
 		for late := time.After(eventLimit); ; {
-			if _, ok := x.At(); ok {
+			if _, ok := x.AppliedAt(); ok {
 				break
 			}
 			select {
@@ -63,10 +63,10 @@
 	to := from.Add(4 * time.Second)
 	feast := fmt.Sprintf("declare freeze name=feast by=anna kinds=config,releases zone=UTC from=%s to=%s", from.Format(layout), to.Format(layout))
 	asked(t, l.Gateways[3], feast)
-	if text, _ := l.Gateways[4].Ask(strings.Replace(feast, "feast", "soon", 1)); without == "" && !strings.Contains(text, "declared") && !strings.HasPrefix(text, "SUCCESS") {
+	if text, _ := l.Gateways[4].SendCommand(strings.Replace(feast, "feast", "soon", 1)); without == "" && !strings.Contains(text, "declared") && !strings.HasPrefix(text, "SUCCESS") {
 		t.Errorf("another period: %s", text)
 	}
-	var all []*lab.Taken
+	var all []*lab.ConfigChange
 	anew := false
 	for n := 3; ; n++ {
 		// within a bound of the begin a clock that is ahead or behind is what matters: configurations come thick there
@@ -83,11 +83,11 @@
 			anew = true
 			g := l.Gateways[begins]
 			g.Kill()
-			g.Disk("empty")
+			g.AlterDisk("empty")
 			if err := g.Start(); err != nil {
 				t.Error(err)
 			}
-			if text, _ := l.Gateways[2].Ask("declare release name=two by=anna version=v2"); !strings.Contains(text, "feast of anna forbids releases now") && without == "" {
+			if text, _ := l.Gateways[2].SendCommand("declare release name=two by=anna version=v2"); !strings.Contains(text, "feast of anna forbids releases now") && without == "" {
 				t.Errorf("a release inside: %s", text)
 			}
 		}
@@ -103,10 +103,10 @@
 		}
 	}
 	l.Heal()
-	last := map[*lab.Gateway]*lab.Taken{}
+	last := map[*lab.Gateway]*lab.ConfigChange{}
 	for _, x := range all {
 		last[x.Gateway] = x
-		if at, ok := x.At(); ok && at.Before(to) {
+		if at, ok := x.AppliedAt(); ok && at.Before(to) {
 			f.inside++
 		}
 	}
@@ -115,7 +115,7 @@
 			continue
 		}
 		taken := func() bool {
-			_, ok := x.At()
+			_, ok := x.AppliedAt()
 			return ok
 		}
 		if err := waitFor(eventLimit, taken); err != nil {
@@ -125,7 +125,7 @@
 	}
 	n := verdict(t, l, tr)
 	t.Logf("figures: gateways=7 guard_out=%q given=%d frozen_changes=%d taken_afterwards=%d unanswered=%d twice=%d", without, f.given, f.inside, f.taken, n.Unanswered,
-		l.Counts().Twice)
+		l.Counts().RanTwice)
 	answered(t, n, tr)
 	l.Close()
 	return f
@@ -165,26 +165,26 @@
 	if _, err := l.Gateways[5].Process().Await("configuration not taken", eventLimit); err != nil {
 		t.Fatal(err)
 	}
-	if text, _ := l.Gateways[5].Ask("declare take by=anna"); !strings.Contains(text, "an exception is needed") {
+	if text, _ := l.Gateways[5].SendCommand("declare take by=anna"); !strings.Contains(text, "an exception is needed") {
 		t.Errorf("without an exception: %s", text)
 	}
 	var id int
 	if _, err := fmt.Sscanf(asked(t, l.Gateways[0], "declare exception freeze=feast for=config by=anna for_s=600 why=a wrong bulletin"), "SUCCESS\nentry %d", &id); err != nil {
 		t.Fatal(err)
 	}
-	if text, _ := l.Gateways[0].Ask(fmt.Sprintf("declare second exception=%d by=anna", id)); !strings.Contains(text, "another operator") {
+	if text, _ := l.Gateways[0].SendCommand(fmt.Sprintf("declare second exception=%d by=anna", id)); !strings.Contains(text, "another operator") {
 		t.Errorf("by the same operator: %s", text)
 	}
 	asked(t, l.Gateways[1], fmt.Sprintf("declare second exception=%d by=boris", id))
-	if _, ok := x.At(); ok {
+	if _, ok := x.AppliedAt(); ok {
 		t.Error("it was taken before it was let through")
 	}
 	asked(t, l.Gateways[5], fmt.Sprintf("declare take except=%d by=anna", id))
 	until(t, l.Gateways[5:6], func(*lab.Gateway) string { return "svc.config_applied:1|c" })
-	if text, _ := l.Gateways[4].Ask(fmt.Sprintf("declare take except=%d by=anna", id)); !strings.Contains(text, "been used") {
+	if text, _ := l.Gateways[4].SendCommand(fmt.Sprintf("declare take except=%d by=anna", id)); !strings.Contains(text, "been used") {
 		t.Errorf("a second time: %s", text)
 	}
-	if text, _ := l.Gateways[2].Ask("declare lift freeze=feast by=anna"); !strings.Contains(text, "forbids its own end") {
+	if text, _ := l.Gateways[2].SendCommand("declare lift freeze=feast by=anna"); !strings.Contains(text, "forbids its own end") {
 		t.Errorf("a period ended by one operator: %s", text)
 	}
 }
--- a/internal/fleettest/handover_test.go
+++ b/internal/fleettest/handover_test.go
@@ -30,7 +30,7 @@
 	l := prepare(t, lab.Options{Gateways: 1})
 	g, s := l.Gateways[0], sysfault.New(unix.SYS_BIND)
 	s.Set(failing(1, func(c sysfault.Call) bool { return c.Local() == "" }, unix.ENOSPC)) // no TCP: it makes a file
-	g.Supervise(s)
+	g.SuperviseSyscalls(s)
 	if err := l.StartAll(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleettest/history_test.go
+++ b/internal/fleettest/history_test.go
@@ -65,7 +65,7 @@
 			defer wg.Done()
 			for range times {
 				asked := time.Now()
-				if text, err := g.Ask("drain by=anna"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
+				if text, err := g.SendCommand("drain by=anna"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
 					continue // it is asked for again
 				}
 				if _, err := g.Process().Await("drained by what was agreed", eventLimit); err != nil {
@@ -75,7 +75,7 @@
 				out := time.Now()
 				hold(rng)
 				resumed := time.Now()
-				g.Ask("resume")
+				g.SendCommand("resume")
 				if err := returned(g); err != nil {
 					t.Error(err)
 					return
--- a/internal/fleettest/outage_test.go
+++ b/internal/fleettest/outage_test.go
@@ -22,10 +22,10 @@
 	for name, unprobed := range map[string]bool{"probes allowed": false, "probes forbidden": true} {
 		t.Run(name, func(t *testing.T) {
 			beside(t)
-			l := start(t, lab.Options{Workers: 6, Halls: 3, Unprobed: unprobed})
+			l := start(t, lab.Options{Workers: 6, Halls: 3, ProbesOff: unprobed})
 			tr := l.Start(mixed)
 			served(t, tr, 400)
-			l.CutLists()
+			l.CutBulletins()
 			served(t, tr, 30)
 			l.Workers[0].Drain()
 			l.Workers[1].Drain()
@@ -38,7 +38,7 @@
 // served waits until so many more requests have been served.
 func served(t *testing.T, tr *lab.Traffic, more int) {
 	t.Helper()
-	if !tr.Served(more, eventLimit) {
+	if !tr.AwaitServed(more, eventLimit) {
 		t.Fatalf("%d calls are not served in %v: %+v", more, eventLimit, tr.Totals())
 	}
 }
@@ -55,15 +55,15 @@
 // other, each goes on with those that it has seen to serve, and most calls are served.
 func TestLongOutageWithLittleTraffic(t *testing.T) {
 	beside(t)
-	l := start(t, lab.Options{Gateways: 6, Workers: 9, Halls: 3, Unprobed: true})
+	l := start(t, lab.Options{Gateways: 6, Workers: 9, Halls: 3, ProbesOff: true})
 	tr := l.Start(lab.Load{Rate: 24, Functions: 12, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 3})
 	served(t, tr, 150)
-	l.CutLists()
+	l.CutBulletins()
 	for _, w := range l.Workers[:2] {
 		served(t, tr, 50)
 		w.Drain()
 	}
-	for !l.Workers[1].GraceIsOver() {
+	for !l.Workers[1].DrainGraceOver() {
 		served(t, tr, 20)
 	}
 	served(t, tr, 150)
--- a/internal/fleettest/power_test.go
+++ b/internal/fleettest/power_test.go
@@ -13,8 +13,8 @@
 
 // The fleet of these tests: 9 gateways in 3 halls, a store of models that 48 loads at once push over, workers that are
 // cold for 10 s.
-var big = lab.Options{Gateways: 9, Workers: 12, Halls: 3, PerSecond: 25, ColdFor: 10 * time.Second, Load: 200 * time.Millisecond,
-	StoreAt: 48, Fleet: true}
+var big = lab.Options{Gateways: 9, Workers: 12, Halls: 3, CallsPerSecond: 25, ColdFor: 10 * time.Second, LoadTime: 200 * time.Millisecond,
+	StoreLimit: 48, Fleet: true}
 
 var heavy = lab.Load{Rate: 150, Functions: 60, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 3}
 
@@ -42,14 +42,14 @@
 	}
 	l := start(t, o)
 	tr := l.Start(load)
-	if !tr.Served(int(10*load.Rate), eventLimit) {
+	if !tr.AwaitServed(int(10*load.Rate), eventLimit) {
 		t.Fatalf("nothing is served: %+v\n%s", tr.Totals(), l.Gateways[0].Process().Log())
 	}
 	if before != nil {
 		if err := before(l); err != nil {
 			t.Fatal(err)
 		}
-		tr.Served(int(3*load.Rate), eventLimit) // the state goes to the disks, and the word to the others
+		tr.AwaitServed(int(3*load.Rate), eventLimit) // the state goes to the disks, and the word to the others
 	}
 	gateways, workers := p.lose(l)
 	begun := time.Now()
@@ -59,17 +59,17 @@
 			t.Fatal(err)
 		}
 	}
-	if err := l.PowerBack(gateways, workers); err != nil {
+	if err := l.PowerRestore(gateways, workers); err != nil {
 		t.Fatal(err)
 	}
 	for p.again != nil && p.again(l, tr) {
 		l.PowerLoss(gateways, workers)
-		if err := l.PowerBack(gateways, workers); err != nil {
+		if err := l.PowerRestore(gateways, workers); err != nil {
 			t.Fatal(err)
 		}
 	}
 	back := time.Now()
-	if !tr.Served(int(12*load.Rate), comeBackLimit) {
+	if !tr.AwaitServed(int(12*load.Rate), comeBackLimit) {
 		t.Errorf("the fleet does not serve again: %+v", tr.Totals())
 	}
 	if p.check != nil && baseline == "recovery" {
@@ -77,27 +77,27 @@
 			t.Error(err)
 		}
 	}
-	former := tr.Worth(begun.Add(-2*time.Second), 2*time.Second, -1)
+	former := tr.WorthServed(begun.Add(-2*time.Second), 2*time.Second, -1)
 	by, until := "", map[float64]time.Duration{}
 	for _, part := range []float64{0.5, 0.9, 0.99} {
-		until[part] = tr.Until(back, former, part, -1, comeBackLimit)
+		until[part] = tr.RecoveryTime(back, former, part, -1, comeBackLimit)
 	}
 	for k, class := range []string{"read", "command", "once"} {
-		by += fmt.Sprintf(" %s=%v", class, tr.Until(back, former, 0.9, k, comeBackLimit))
+		by += fmt.Sprintf(" %s=%v", class, tr.RecoveryTime(back, former, 0.9, k, comeBackLimit))
 	}
 	n := tr.End()
 	if os.Getenv("QUILLRAIL_FLEET_LOG") != "" {
 		for d := time.Duration(0); d < 2*time.Second; d += 100 * time.Millisecond {
-			t.Logf("%v after: %.2f of the worth is served", d, tr.Worth(back.Add(d), 100*time.Millisecond, -1))
+			t.Logf("%v after: %.2f of the worth is served", d, tr.WorthServed(back.Add(d), 100*time.Millisecond, -1))
 		}
 	}
 	t.Logf("%s %s: former=%.3f until50=%v until90=%v until99=%v; until90 by class:%s", p.name, baseline, former, until[0.5], until[0.9],
 		until[0.99], by)
-	t.Log(l.Figures(n))
+	t.Log(l.Summary(n))
 	if os.Getenv("QUILLRAIL_FLEET_LOG") != "" {
 		t.Log(l.Gateways[0].Process().Log())
 	}
-	if broken := l.Broken(n); broken != "" && baseline == "recovery" {
+	if broken := l.Violations(n); broken != "" && baseline == "recovery" {
 		t.Error(broken)
 	}
 	l.Close()
@@ -107,10 +107,10 @@
 // word has to outlive the loss of power, also at gateways whose own disk is lost.
 func banned(l *lab.Lab) error {
 	w := l.Workers[len(l.Workers)-1]
-	if text, err := l.Gateways[0].Ask("disable-server " + w.Name()); err != nil || !strings.HasPrefix(text, "SUCCESS") {
+	if text, err := l.Gateways[0].SendCommand("disable-server " + w.Name()); err != nil || !strings.HasPrefix(text, "SUCCESS") {
 		return fmt.Errorf("disable-server: %q, %v", text, err)
 	}
-	w.Banned()
+	w.MarkBanned()
 	return nil
 }
 
@@ -122,7 +122,7 @@
 	late := time.After(eventLimit)
 	for _, g := range l.Gateways {
 		for {
-			text, err := g.Ask("show-stat")
+			text, err := g.SendCommand("show-stat")
 			if err == nil && strings.Contains(text, want) {
 				break
 			}
@@ -141,7 +141,7 @@
 	var err error
 	for i, g := range l.Gateways {
 		if what := []string{"empty", "old", "torn", "empty", "spoilt", "", "empty", "", ""}[i%9]; what != "" {
-			err = errors.Join(err, g.Disk(what))
+			err = errors.Join(err, g.AlterDisk(what))
 		}
 	}
 	return err
@@ -158,7 +158,7 @@
 		before: func(l *lab.Lab) error {
 			var err error
 			for _, g := range l.Gateways {
-				err = errors.Join(err, g.Disk("keep"))
+				err = errors.Join(err, g.AlterDisk("keep"))
 			}
 			return errors.Join(err, banned(l))
 		}},
@@ -179,7 +179,7 @@
 	{power: power{name: "twice more while it comes back", lose: everything, check: full, again: func() func(*lab.Lab, *lab.Traffic) bool {
 		left := 2
 		return func(_ *lab.Lab, tr *lab.Traffic) bool {
-			tr.Served(60, comeBackLimit)
+			tr.AwaitServed(60, comeBackLimit)
 			left--
 			return left >= 0
 		}
@@ -209,6 +209,6 @@
 		t.Skip("with QUILLRAIL_FLEET_LONG only")
 	}
 	o := big
-	o.Gateways, o.Workers, o.PerSecond = 30, 24, 12
+	o.Gateways, o.Workers, o.CallsPerSecond = 30, 24, 12
 	power{name: "thirty", lose: everything, check: full}.play(t, o, heavy, "recovery", nil)
 }
--- a/internal/fleettest/rolling_test.go
+++ b/internal/fleettest/rolling_test.go
@@ -27,7 +27,7 @@
 
 // restarted has a gateway drained by permit, ended and started anew.
 func restarted(g *lab.Gateway) error {
-	if text, err := g.Ask("drain by=anna why=a restart"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
+	if text, err := g.SendCommand("drain by=anna why=a restart"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
 		return fmt.Errorf("%s: drain: %q, %v", g.Name, text, err)
 	}
 	if _, err := g.Process().Await("drained by what was agreed", 2*eventLimit); err != nil {
@@ -41,7 +41,7 @@
 
 // renewed has a worker left out by permit, started anew, and used again.
 func renewed(l *lab.Lab, w *lab.Worker, at *lab.Gateway) error {
-	if text, err := at.Ask("disable-server " + w.Name() + " by=anna"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
+	if text, err := at.SendCommand("disable-server " + w.Name() + " by=anna"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
 		return fmt.Errorf("%s: disable-server: %q, %v", w.Name(), text, err)
 	}
 	if err := inUse(at, "worker "+w.Name()); err != nil {
@@ -51,7 +51,7 @@
 	if err := w.Restart(); err != nil {
 		return err
 	}
-	if text, err := at.Ask("enable-server " + w.Name() + " by=anna"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
+	if text, err := at.SendCommand("enable-server " + w.Name() + " by=anna"); err != nil || !strings.HasPrefix(text, "SUCCESS") {
 		return fmt.Errorf("%s: enable-server: %q, %v", w.Name(), text, err)
 	}
 	return nil
@@ -72,11 +72,11 @@
 		tr := l.Start(lab.Load{Rate: 150, Functions: 12, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 3})
 		most := map[string]int{"1": 1, "2": 2}[limit]
 		settled(t, l)
-		tr.Served(600, eventLimit)
+		tr.AwaitServed(600, eventLimit)
 		w := l.Watch(most)
 		quiet := time.Now()
-		tr.Served(900, eventLimit)
-		base, before := tr.Worth(quiet, time.Since(quiet)-2*time.Second, -1), tr.Totals()
+		tr.AwaitServed(900, eventLimit)
+		base, before := tr.WorthServed(quiet, time.Since(quiet)-2*time.Second, -1), tr.Totals()
 		begun := time.Now()
 		all := func(n int, do func(i int) error) {
 			var wg sync.WaitGroup
@@ -96,12 +96,12 @@
 		gateways := time.Since(begun)
 		all(len(l.Workers), func(i int) error { return renewed(l, l.Workers[i], l.Gateways[i%7]) })
 		took[limit] = time.Since(begun)
-		tr.Served(300, eventLimit)
-		rolled := tr.Worth(begun, took[limit]-2*time.Second, -1)
+		tr.AwaitServed(300, eventLimit)
+		rolled := tr.WorthServed(begun, took[limit]-2*time.Second, -1)
 		_, out, over := w.End()
 		n := verdict(t, l, tr)
 		t.Logf("figures: gateways=7 workers=9 limit=%s out=%d over=%d worth=%.3f worth_before=%.3f refused=%d took=%v gateways=%v unanswered=%d twice=%d", limit, out, over,
-			rolled, base, n.Refused-before.Refused, took[limit].Round(100*time.Millisecond), gateways.Round(100*time.Millisecond), n.Unanswered, l.Counts().Twice)
+			rolled, base, n.Refused-before.Refused, took[limit].Round(100*time.Millisecond), gateways.Round(100*time.Millisecond), n.Unanswered, l.Counts().RanTwice)
 		if out > most || over > 0 {
 			t.Errorf("%d were out at most, over %d times", out, over)
 		}
--- a/internal/fleettest/scale_test.go
+++ b/internal/fleettest/scale_test.go
@@ -13,7 +13,7 @@
 // bounds only: what it costs in time is reported by quillrail-lab scale.
 func TestScaleSmall(t *testing.T) {
 	o := scale.Options{Program: []string{os.Args[0], "serve", "--mqtt", "none"}, Env: []string{"QUILLRAIL_TEST_PROCESS=1"}, Dir: t.TempDir(), Seed: seed(),
-		Gateways: []int{8, 20}, Workers: []int{120, 2000}, Functions: []int{200}, Window: time.Second, Changes: 2, CutFor: time.Second, Calls: 300,
+		Gateways: []int{8, 20}, Workers: []int{120, 2000}, Functions: []int{200}, Window: time.Second, Changes: 2, PartitionFor: time.Second, Calls: 300,
 		Log: t.Logf}
 	r, err := scale.Run(o)
 	if err != nil {
@@ -33,9 +33,9 @@
 				leaders++
 			}
 		}
-		t.Logf("figures: gateways=%d lost=%d wrong_suspicions=%d late_changes=%d leaders=%d sent_per_s=%.0f", f.Gateways, f.Lost, f.Wrong, f.Late, leaders, f.SentPerSec)
-		if f.Lost > 0 || leaders != 1 || f.ForceMs[2] == 0 || f.SentPerSec == 0 {
-			t.Errorf("%d gateways: %d messages lost, %d lead, a change in force after %.0f ms, %.0f bytes a second", f.Gateways, f.Lost, leaders, f.ForceMs[2], f.SentPerSec)
+		t.Logf("figures: gateways=%d lost=%d wrong_suspicions=%d late_changes=%d leaders=%d sent_per_s=%.0f", f.Gateways, f.MessagesLost, f.WrongSuspicions, f.LateChanges, leaders, f.SentPerSec)
+		if f.MessagesLost > 0 || leaders != 1 || f.InForceMs[2] == 0 || f.SentPerSec == 0 {
+			t.Errorf("%d gateways: %d messages lost, %d lead, a change in force after %.0f ms, %.0f bytes a second", f.Gateways, f.MessagesLost, leaders, f.InForceMs[2], f.SentPerSec)
 		}
 	}
 }
--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -54,16 +54,16 @@
 			s.t.Error(err)
 		}
 	},
-	"a crowd comes":                    func(s *soak) { s.tr.Crowd(s.gateway(), 100+s.rng.IntN(150)) },
-	"a crowd as it ends":               func(s *soak) { g := s.gateway(); s.tr.Crowd(g, 60); s.end(g) },
+	"a crowd comes":                    func(s *soak) { s.tr.Burst(s.gateway(), 100+s.rng.IntN(150)) },
+	"a crowd as it ends":               func(s *soak) { g := s.gateway(); s.tr.Burst(g, 60); s.end(g) },
 	"a worker drains":                  func(s *soak) { s.drain(s.worker()) },
 	"the lists are silent":             func(s *soak) { s.outage(true) },
 	"the lists are silent for a while": func(s *soak) { s.outage(false) },
 	"a list is slow": func(s *soak) {
-		s.gateway().SlowList(time.Duration(500+s.rng.IntN(4000)) * time.Millisecond)
+		s.gateway().DelayBulletin(time.Duration(500+s.rng.IntN(4000)) * time.Millisecond)
 		s.serve(200)
 		s.drain(s.worker())
-		s.l.HealLists()
+		s.l.HealBulletins()
 	},
 	"links break": func(s *soak) {
 		for range 3 {
@@ -98,7 +98,7 @@
 
 // end has a gateway end as the platform does, with its clients going on until the earliest kill, and starts it anew.
 func (s *soak) end(g *lab.Gateway) {
-	if !g.TerminateBy() {
+	if !g.TerminateOrKill() {
 		s.t.Errorf("%s had not ended when it could be killed:\n%s", g.Name, g.Process().Log())
 	}
 	s.start(g)
@@ -117,7 +117,7 @@
 
 // graceIsOver has calls served until nothing may come to a worker any more that drains, and some more.
 func (s *soak) graceIsOver(w *lab.Worker) {
-	for !w.GraceIsOver() {
+	for !w.DrainGraceOver() {
 		s.serve(50)
 	}
 	s.serve(300)
@@ -126,9 +126,9 @@
 // outage cuts the lists while workers drain, until that counts as told and the grace is over or for less, and brings all back.
 func (s *soak) outage(long bool) {
 	if s.rng.IntN(2) == 0 {
-		s.l.CutLists()
+		s.l.CutBulletins()
 	} else {
-		s.l.RefuseLists()
+		s.l.RefuseBulletins()
 	}
 	s.serve(20 + s.rng.IntN(60))
 	drained := s.rng.Perm(len(s.l.Workers))[:1+s.rng.IntN(2)]
@@ -139,7 +139,7 @@
 	if s.serve(200 + s.rng.IntN(1500)); long {
 		s.graceIsOver(s.l.Workers[drained[0]])
 	}
-	s.l.HealLists()
+	s.l.HealBulletins()
 	for _, i := range drained {
 		if err := s.l.Workers[i].Restart(); err != nil {
 			s.t.Error(err)
@@ -188,17 +188,17 @@
 // hand. QUILLRAIL_SOAK_STEPS and QUILLRAIL_FLEET_SEED play longer plans and others.
 func TestSoak(t *testing.T) {
 	beside(t)
-	l := start(t, lab.Options{Workers: 6, Halls: 3, Unprobed: seed()%2 == 1, ClockFile: filepath.Join(t.TempDir(), "clock")})
-	tr := l.Start(lab.Load{Rate: 100, Lines: 2, Functions: 12, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 3})
+	l := start(t, lab.Options{Workers: 6, Halls: 3, ProbesOff: seed()%2 == 1, ClockFile: filepath.Join(t.TempDir(), "clock")})
+	tr := l.Start(lab.Load{Rate: 100, PersistentClients: 2, Functions: 12, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 3})
 	s := &soak{t, l, tr, rand.New(rand.NewPCG(seed(), 31))}
 	s.serve(300)
 	s.play(int(setting("QUILLRAIL_SOAK_STEPS", 12)))
 	n := verdict(t, l, tr)
 	if n.Unanswered+n.Unreached > 0 {
-		t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 	for _, g := range l.Gateways {
-		if !g.Process().Runs() {
+		if !g.Process().Running() {
 			t.Errorf("%s has ended:\n%s", g.Name, g.Process().Log())
 		}
 	}
--- a/internal/fleettest/start_test.go
+++ b/internal/fleettest/start_test.go
@@ -40,7 +40,7 @@
 				s := sysfault.New(unix.SYS_SOCKET, unix.SYS_OPENAT)
 				inFolder := opensIn(l)
 				s.Set(firstFail(12, func(c sysfault.Call) bool { return c.Number == unix.SYS_SOCKET && onTCP(c) || inFolder(c) }, errno))
-				g.Supervise(s)
+				g.SuperviseSyscalls(s)
 				supervisors = append(supervisors, s)
 			}
 			if err := l.StartAll(); err != nil {
--- a/internal/fleettest/syscalls_test.go
+++ b/internal/fleettest/syscalls_test.go
@@ -121,7 +121,7 @@
 				return sysfault.Outcome{}
 			}
 			n++
-			return sysfault.Outcome{Half: n%2 == 0}
+			return sysfault.Outcome{HalfWrite: n%2 == 0}
 		}
 	}
 	play.run(t)
@@ -136,7 +136,7 @@
 			if !onSocket(c) {
 				return sysfault.Outcome{}
 			}
-			return sysfault.Outcome{Most: 1 + rng.IntN(40)}
+			return sysfault.Outcome{MaxRead: 1 + rng.IntN(40)}
 		}
 	}
 	play.run(t)
@@ -157,7 +157,7 @@
 	t.Helper()
 	for _, g := range l.Gateways {
 		s := sysfault.New(numbers...)
-		g.Supervise(s)
+		g.SuperviseSyscalls(s)
 		supervisors = append(supervisors, s)
 	}
 	if err := l.StartAll(); err != nil {
@@ -187,7 +187,7 @@
 		served(t, tr, 80)
 		for _, g := range l.Gateways {
 			if p.breaks {
-				g.ListLink().Reset()
+				g.BulletinLink().Reset()
 				g.Link(round % len(l.Workers)).Reset()
 			}
 		}
@@ -208,13 +208,13 @@
 	n := verdict(t, l, tr)
 	mostServed(t, n)
 	if n.Unanswered+n.Unreached > 0 {
-		t.Errorf("calls were lost: %+v\n%q", n, tr.Faults())
+		t.Errorf("calls were lost: %+v\n%q", n, tr.ErrorSamples())
 	}
 	if p.allServed && n.Served != n.Calls {
 		t.Errorf("calls were not served: %+v", n)
 	}
 	for _, g := range l.Gateways {
-		if !g.Process().Runs() {
+		if !g.Process().Running() {
 			t.Errorf("%s has ended:\n%s", g.Name, g.Process().Log())
 		}
 	}
@@ -228,9 +228,9 @@
 			beside(t)
 			l := start(t, lab.Options{Gateways: 2})
 			for _, g := range l.Gateways {
-				g.ListLink().Set(lab.Fault{Piece: piece}, lab.Fault{Piece: piece})
+				g.BulletinLink().Set(lab.Fault{MaxChunk: piece}, lab.Fault{MaxChunk: piece})
 				for w := range l.Workers {
-					g.Link(w).Set(lab.Fault{Piece: piece}, lab.Fault{Piece: piece})
+					g.Link(w).Set(lab.Fault{MaxChunk: piece}, lab.Fault{MaxChunk: piece})
 				}
 			}
 			tr := l.Start(mixed)
@@ -238,7 +238,7 @@
 			l.Workers[0].Drain()
 			served(t, tr, 300)
 			if n := verdict(t, l, tr); n.Served != n.Calls {
-				t.Errorf("calls were not served: %+v\n%q", n, tr.Faults())
+				t.Errorf("calls were not served: %+v\n%q", n, tr.ErrorSamples())
 			}
 		})
 	}
--- a/internal/lab/bulletin.go
+++ b/internal/lab/bulletin.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// bulletin tells one gateway of the workers, at the addresses by which that gateway reaches them.
+// bulletin is the stub of the discovery service for one gateway. It lists the workers at the addresses of that gateway's relays.
 type bulletin struct {
-	addr   string
-	g      *Gateway
-	mu     sync.Mutex
-	frames [][]byte // of the events from the second on; the first is in the configuration
-	more   chan struct{}
-	muted  bool // the list lags: what is new is told once it does no longer
+	addr    string
+	gateway *Gateway
+	mu      sync.Mutex
+	frames  [][]byte      // encoded events from number 2 on; event 1 is the list in the gateway's configuration
+	changed chan struct{} // closed and replaced when frames or muted change
+	muted   bool          // new events are held back until it is false again
 }
 
 func newBulletin(l *Lab, g *Gateway) (*bulletin, error) {
@@ -25,43 +25,45 @@
 		return nil, err
 	}
 	l.onClose(func() { ln.Close() })
-	b := &bulletin{addr: ln.Addr().String(), g: g, more: make(chan struct{})}
-	go l.serve(ln, b.handle)
+	b := &bulletin{addr: ln.Addr().String(), gateway: g, changed: make(chan struct{})}
+	go l.acceptAll(ln, b.handle)
 	return b, nil
 }
 
+// handle reads the number of the last event that the gateway has seen, and then sends the later ones as they come. While there
+// are none it sends an empty frame every second as a heartbeat.
 func (b *bulletin) handle(c net.Conn) {
 	defer c.Close()
-	var last [8]byte
-	if _, err := io.ReadFull(c, last[:]); err != nil {
+	var lastSeen [8]byte
+	if _, err := io.ReadFull(c, lastSeen[:]); err != nil {
 		return
 	}
-	next := binary.BigEndian.Uint64(last[:])
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	next := binary.BigEndian.Uint64(lastSeen[:])
+	heartbeat := time.NewTicker(time.Second)
+	defer heartbeat.Stop()
 	for {
 		b.mu.Lock()
-		var out []byte
+		var pending []byte
 		for ; !b.muted && next >= 1 && next-1 < uint64(len(b.frames)); next++ {
-			out = append(out, b.frames[next-1]...)
+			pending = append(pending, b.frames[next-1]...)
 		}
-		more := b.more
+		changed := b.changed
 		b.mu.Unlock()
-		if len(out) == 0 {
+		if len(pending) == 0 {
 			select {
-			case <-more:
+			case <-changed:
 				continue
-			case <-beat.C:
-				out = frame(next, 0, nil)
+			case <-heartbeat.C:
+				pending = frame(next, 0, nil)
 			}
 		}
-		if _, err := c.Write(out); err != nil {
+		if _, err := c.Write(pending); err != nil {
 			return
 		}
 	}
 }
 
-// unixMilli is a start as the list tells it, 0 for long ago.
+// unixMilli returns a worker's start time as the list has it: Unix milliseconds, 0 if it started long ago.
 func unixMilli(started time.Time) int64 {
 	if started.IsZero() {
 		return 0
@@ -69,47 +71,48 @@
 	return started.UnixMilli()
 }
 
-func frame(no uint64, kind byte, payload []byte) []byte {
+// frame encodes an event: its length, its number, its kind (0 heartbeat, 2 change of one worker) and its payload.
+func frame(number uint64, kind byte, payload []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(9+len(payload)))
-	b = append(binary.BigEndian.AppendUint64(b, no), kind)
+	b = append(binary.BigEndian.AppendUint64(b, number), kind)
 	return append(b, payload...)
 }
 
-// add appends a change of one worker: state 0 ready, 1 draining, 2 gone.
+// add appends the event that one worker has changed. state is 0 for ready, 1 for draining and 2 for gone.
 func (b *bulletin) add(w *Worker, state byte, started time.Time) {
-	at := netip.MustParseAddrPort(b.g.links[w.n].Addr())
-	ip := at.Addr().As4()
-	r := binary.BigEndian.AppendUint32(nil, uint32(w.n+1))
-	r = binary.BigEndian.AppendUint16(append(r, ip[:]...), at.Port())
-	r = binary.BigEndian.AppendUint16(append(r, state, byte(w.Hall), 0), 0)
-	r = binary.BigEndian.AppendUint32(r, 1000)
-	r = binary.BigEndian.AppendUint64(r, uint64(unixMilli(started)))
+	addr := netip.MustParseAddrPort(b.gateway.links[w.index].Addr())
+	ip := addr.Addr().As4()
+	record := binary.BigEndian.AppendUint32(nil, uint32(w.index+1))
+	record = binary.BigEndian.AppendUint16(append(record, ip[:]...), addr.Port())
+	record = binary.BigEndian.AppendUint16(append(record, state, byte(w.Hall), 0), 0)
+	record = binary.BigEndian.AppendUint32(record, 1000)
+	record = binary.BigEndian.AppendUint64(record, uint64(unixMilli(started)))
 	b.mu.Lock()
-	b.frames = append(b.frames, frame(uint64(len(b.frames))+2, 2, r))
-	close(b.more)
-	b.more = make(chan struct{})
+	b.frames = append(b.frames, frame(uint64(len(b.frames))+2, 2, record))
+	close(b.changed)
+	b.changed = make(chan struct{})
 	b.mu.Unlock()
 }
 
-// last is the number of the last event.
+// last returns the number of the last event.
 func (b *bulletin) last() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.frames) + 1
 }
 
-// Mute has a gateway hear nothing new of the workers until it is ended.
-func (g *Gateway) Mute(on bool) {
+// Mute holds back (true) or sends again (false) the events of the gateway's bulletin. Heartbeats go on.
+func (g *Gateway) Mute(muted bool) {
 	b := g.bulletin
 	b.mu.Lock()
-	b.muted = on
-	close(b.more)
-	b.more = make(chan struct{})
+	b.muted = muted
+	close(b.changed)
+	b.changed = make(chan struct{})
 	b.mu.Unlock()
 }
 
-// tell has every bulletin say what has become of a worker.
-func (l *Lab) tell(w *Worker, state byte, started time.Time) {
+// publish adds the event that a worker has changed to every gateway's bulletin.
+func (l *Lab) publish(w *Worker, state byte, started time.Time) {
 	for _, g := range l.Gateways {
 		g.bulletin.add(w, state, started)
 	}
--- a/internal/lab/clock.go
+++ b/internal/lab/clock.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// StepClocks steps the wall clock of the whole machine by so much, as a time server or an operator does: that of the gateways,
-// and that by which the list tells when workers were started.
+// StepClocks shifts the wall clock of the whole machine, as a time server or an operator does: the clock of the gateways and the
+// one for the start times of workers in the list.
 func (l *Lab) StepClocks(by time.Duration) error {
 	l.mu.Lock()
-	l.step += by
-	step := l.step
+	l.clockStep += by
+	step := l.clockStep
 	l.mu.Unlock()
-	l.Logf("the clocks are stepped by %v", by)
+	l.Logf("wall clocks are stepped by %v", by)
 	temporary := l.ClockFile + ".new"
 	if err := os.WriteFile(temporary, strconv.AppendInt(nil, int64(step), 10), 0o600); err != nil {
 		return err
@@ -21,9 +21,9 @@
 	return os.Rename(temporary, l.ClockFile)
 }
 
-// wall is a moment by the wall clock as it has been stepped.
-func (l *Lab) wall(at time.Time) time.Time {
+// wallTime converts a time to the wall clock with all steps so far.
+func (l *Lab) wallTime(at time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return at.Add(l.step)
+	return at.Add(l.clockStep)
 }
--- a/internal/lab/confine.go
+++ b/internal/lab/confine.go
@@ -6,72 +6,73 @@
 	"time"
 )
 
-// apart is where the numbers of functions begin that only commands call, where Load.Apart is set.
-const apart = 1000
+// commandFunctionBase is added to the numbers of functions that only commands call, if Load.SeparateCommands is set.
+const commandFunctionBase = 1000
 
-// confined are the halls where alone commands and their functions may be, from a moment on.
-type confined struct {
+// confinement is the set of halls that commands and their functions may use, and the time from which that holds.
+type confinement struct {
 	halls map[int]bool
 	since time.Time
 }
 
-const confineGrace = 200 * time.Millisecond // for what was on its way
+// confineGrace is how long after the start of a confinement calls that were already on their way may still arrive elsewhere.
+const confineGrace = 200 * time.Millisecond
 
-// Confine has the stand-ins count every command, and every load of a function that only commands call, outside of halls.
-// Halls count from 0; none ends it.
+// Confine makes the workers outside of the given halls count every command, and every load of a function that only commands call.
+// Halls count from 0; a call without halls ends the confinement.
 func (l *Lab) Confine(halls ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.confined = nil
+	l.confinement = nil
 	if len(halls) > 0 {
-		l.confined = &confined{map[int]bool{}, time.Now()}
-		for _, h := range halls {
-			l.confined.halls[h] = true
+		l.confinement = &confinement{map[int]bool{}, time.Now()}
+		for _, hall := range halls {
+			l.confinement.halls[hall] = true
 		}
 	}
 }
 
-// inside counts what comes to a worker that has no business there. l.mu is not held.
-func (w *Worker) inside(path, body string) {
+// checkConfinement counts a call or a load that the confinement doesn't allow at this worker. It locks l.mu.
+func (w *Worker) checkConfinement(path, body string) {
 	l := w.lab
 	n, err := strconv.ParseUint(path, 16, 64)
-	if !strings.HasPrefix(body, "c") && (err != nil || n <= apart) {
+	if !strings.HasPrefix(body, "c") && (err != nil || n <= commandFunctionBase) {
 		return
 	}
 	l.mu.Lock()
-	c := l.confined
-	bad := c != nil && !c.halls[w.Hall] && time.Since(c.since) > confineGrace
-	if bad {
-		l.counts.Outside++
+	c := l.confinement
+	violated := c != nil && !c.halls[w.Hall] && time.Since(c.since) > confineGrace
+	if violated {
+		l.counts.OutsideHalls++
 	}
 	l.mu.Unlock()
-	if bad {
-		l.Logf("%s in hall %d gets %q for %s, which may not be there", w.Name(), w.Hall+1, body, path)
+	if violated {
+		l.Logf("%s in hall %d, which is outside of the confinement, received call %q of function %s", w.Name(), w.Hall+1, body, path)
 	}
 }
 
-// session notes where a call of a session was served, in which epoch as its client was told: two halls in one are a session
-// that was split.
-func (l *Lab) session(fn int, epoch, body string) {
+// recordSession stores the hall in which a call of a session was served. The session is identified by its function and by the
+// epoch that the client received; it counts as split if two halls have served it in one epoch.
+func (l *Lab) recordSession(fn int, epoch, body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	hall, ok := l.ranAt[body]
+	hall, ok := l.hallByRequest[body]
 	if !ok || epoch == "" {
 		return
 	}
 	key := epoch + " " + strconv.Itoa(fn)
-	if at, known := l.sessions[key]; known && at != hall {
-		l.counts.Split++
+	if at, known := l.hallBySession[key]; known && at != hall {
+		l.counts.SplitSessions++
 	}
-	l.sessions[key] = hall
+	l.hallBySession[key] = hall
 }
 
-// Sessions are the halls of the sessions by epoch and function, as far as they were seen.
+// Sessions returns the hall that last served each session; the keys consist of the epoch and the function's number.
 func (l *Lab) Sessions() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]int{}
-	for k, v := range l.sessions {
+	for k, v := range l.hallBySession {
 		out[k] = v
 	}
 	return out
--- a/internal/lab/crossing.go
+++ b/internal/lab/crossing.go
@@ -8,47 +8,50 @@
 )
 
 const (
-	// crossLimit is how long after a request was sent its connection may be found closed so that it counts as having crossed the
-	// close of an idle connection.
-	crossLimit = 50 * time.Millisecond
-	// leftToSpeak is how long a gateway whose places are all taken leaves a new connection at least to say what it came for.
-	leftToSpeak = 100 * time.Millisecond
+	// crossingWindow is how soon after a request was sent its connection has to fail for the request to count as one that crossed
+	// the gateway's close of an idle connection.
+	crossingWindow = 50 * time.Millisecond
+	// firstByteGrace is how long a gateway without room for further connections waits at least for the first byte on a new
+	// connection before it may close it.
+	firstByteGrace = 100 * time.Millisecond
 )
 
-// crossing sends a request once more, on a new connection, that has crossed the close of an idle one, as the platform's clients
-// do. http.Transport does so by itself only for what it knows to be harmless. A connection that a killed gateway held is none
-// that was closed as idle, nor is one that is new, but in a crowd: there it is if its client was slow to speak.
-type crossing struct {
+// resendTransport resends a request on a new connection if it crossed the close of an idle connection, as the platform's clients
+// do; http.Transport does so by itself only for requests that it knows to be idempotent. A connection that failed because a gateway
+// was killed doesn't count, and a new connection counts as idle only in a burst and if its client was slow to send.
+type resendTransport struct {
 	http.RoundTripper
 	lab   *Lab
-	crowd bool
+	burst bool // the request is part of a burst of connections
 }
 
-// RoundTrip sends a request.
-func (c crossing) RoundTrip(req *http.Request) (*http.Response, error) {
+// RoundTrip sends a request, and resends it once if it crossed the close of an idle connection.
+func (t resendTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	begun, reused := time.Now(), false
 	var written atomic.Pointer[time.Time]
-	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused = i.Reused }, WroteRequest: func(httptrace.WroteRequestInfo) {
+	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused = i.Reused }, WroteRequest: func(
+		httptrace.WroteRequestInfo) {
 		now := time.Now()
 		written.Store(&now)
 	}}
-	resp, err := c.RoundTripper.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
-	if err == nil || req.Context().Err() != nil || c.lab.lostSince(begun) {
+	resp, err := t.RoundTripper.RoundTrip(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
+	if err == nil || req.Context().Err() != nil || t.lab.interruptedSince(begun) {
 		return resp, err
 	}
-	if reused && time.Since(begun) > crossLimit || !reused && !c.slow(begun, written.Load()) {
+	if reused && time.Since(begun) > crossingWindow || !reused && !t.closedAsSilent(begun, written.Load()) {
 		return resp, err
 	}
-	again := req.Clone(req.Context())
-	if again.Body, err = req.GetBody(); err != nil {
+	resent := req.Clone(req.Context())
+	if resent.Body, err = req.GetBody(); err != nil {
 		return nil, err
 	}
-	c.lab.count(func(c *Counts) { c.Crossed++ })
-	return c.RoundTripper.RoundTrip(again)
+	t.lab.count(func(c *Counts) { c.Crossed++ })
+	return t.RoundTripper.RoundTrip(resent)
 }
 
-// slow reports whether a request on a new connection came so late that a gateway in a crowd may have closed it as one that says
-// nothing, within crossLimit of that. written is nil if it never left.
-func (c crossing) slow(begun time.Time, written *time.Time) bool {
-	return c.crowd && time.Since(begun) >= leftToSpeak && (written == nil || time.Since(*written) <= crossLimit)
+// closedAsSilent reports whether a gateway under a burst may have closed a new connection because nothing was received on it: the
+// connection failed firstByteGrace or later after begun, and at most crossingWindow after the request was written. written is nil if
+// the request was never written.
+func (t resendTransport) closedAsSilent(begun time.Time, written *time.Time) bool {
+	return t.burst && time.Since(begun) >= firstByteGrace && (written == nil || time.Since(*written) <= crossingWindow)
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,6 +1,6 @@
-// Package lab starts real processes of the gateway among stand-ins on loopback, and breaks them: workers with copies,
-// lanes and a cold start, a store of models, a bulletin, relays that lose and delay, clients that call at a steady pace.
-// The stand-ins count; what is said of a run is theirs, never a gateway's. It ends only what it has started.
+// Package lab starts real gateway processes on loopback, surrounds them with stubs and injects faults. The stubs are workers with
+// copies, lanes and a cold start, a store of models, a bulletin, relays that drop and delay, and clients that call at a steady rate.
+// All counts of a run come from the stubs, never from a gateway. The lab ends only processes that it has started.
 package lab
 
 import (
@@ -16,146 +16,148 @@
 	"time"
 )
 
-// Options say what a lab holds. What is left out has the value of Defaults.
+// Options describe a lab. Sizes and times that are 0 get the value of Defaults.
 type Options struct {
 	Program   []string                   // the command that starts a gateway, with its arguments
-	Arguments []string                   // and further ones
-	Env       []string                   // added to the environment of gateways,
-	EnvOf     func(gateway int) []string // and of one, from 0; nil for none
-	Dir       string                     // for configurations and what gateways keep; it has to exist
-	Seed      uint64                     // of everything that is drawn
+	Arguments []string                   // further arguments
+	Env       []string                   // added to the environment of all gateways
+	EnvOf     func(gateway int) []string // added to that of one gateway, counted from 0; nil for none
+	Dir       string                     // for configurations and the gateways' files; it has to exist
+	Seed      uint64                     // of all random numbers
 	Gateways  int                        // 1 to 250
-	Workers   int                        // 1 to 250, taking turns among the halls
+	Workers   int                        // 1 to 250, spread round robin over the halls
 	Halls     int                        // 1 to 8
-	Log       io.Writer                  // what is done to the fleet, a line each; nil for nowhere
-
-	Lanes     int           // calls that a copy runs at a time
-	Work      time.Duration // of a call, on average
-	Load      time.Duration // of a copy from the store, when nobody else loads
-	KeepAlive time.Duration // an idle copy stands so long
-	ColdFor   time.Duration // a worker that starts is warm after
-	ColdFrom  float64       // and begins with this part of its capacity
-	Unprobed  bool          // gateways may not probe workers
-	ClockFile string        // where gateways read by how much their wall clock has been stepped, in ns; empty where it never is
-	Fleet     bool          // gateways know each other and keep their state on disk
-	Paths     bool          // gateways reach each other by relays, so that they can be cut from each other
-	Voters    int           // gateways that hold the log of what the fleet agrees on, 0 for no agreement; the first ones, of different halls
-	Settings  string        // added to each gateway's file of the fleet
-	StoreAt   int           // loads at once that push the store over, 0 for never
-	PerSecond float64       // calls a second that a warm worker bears: a cold one that gets more falls over
+	Log       io.Writer                  // gets a line for each action on the fleet; nil for none
+
+	Lanes          int           // calls that a copy runs concurrently
+	WorkTime       time.Duration // mean duration of a call's work
+	LoadTime       time.Duration // of a copy from the store, without concurrent loads
+	KeepAlive      time.Duration // an idle copy is unloaded after
+	ColdFor        time.Duration // a worker is cold for so long after its start
+	ColdFrom       float64       // part of its capacity that a worker has at its start
+	ProbesOff      bool          // gateways may not probe workers
+	ClockFile      string        // from which gateways read the step of their wall clock, in ns; empty if clocks are never stepped
+	Fleet          bool          // gateways form a fleet and store their state on disk
+	PeerRelays     bool          // gateways reach each other through relays, so that they can be partitioned
+	Voters         int           // so many of the first gateways, which are in different halls, are voters of the replicated log; 0 for no log
+	FleetSettings  string        // text added to each gateway's fleet.toml
+	StoreLimit     int           // more concurrent loads than this overload the store, 0 for no limit
+	CallsPerSecond float64       // capacity of a warm worker; a cold one collapses under calls beyond a multiple of its present capacity
 }
 
-// Defaults is a small fleet that is quick to start.
-var Defaults = Options{Gateways: 3, Workers: 4, Halls: 2, Lanes: 4, Work: 20 * time.Millisecond, Load: 150 * time.Millisecond,
-	KeepAlive: 10 * time.Second, ColdFor: 5 * time.Second, ColdFrom: 0.2, PerSecond: 150}
+// Defaults describe a small fleet that starts quickly.
+var Defaults = Options{Gateways: 3, Workers: 4, Halls: 2, Lanes: 4, WorkTime: 20 * time.Millisecond, LoadTime: 150 * time.Millisecond,
+	KeepAlive: 10 * time.Second, ColdFor: 5 * time.Second, ColdFrom: 0.2, CallsPerSecond: 150}
 
 const (
-	fallMultiple = 2.5             // of its present capacity a cold worker bears, over
-	fallFor      = 3 * time.Second // so long
-	deadline     = 2 * time.Second // of every class
-	drainGrace   = 2 * time.Second // after it was told, nothing new may come to a draining worker
-	keyWindow    = 8 * time.Second // workers of a hall drop the repeat of a key for so long
-	toldWithin   = 7 * time.Second // what the list has to tell counts as told, whether it arrived or not
-	acceptsFor   = time.Second     // a worker that drains goes on taking calls for so long
-	queueEach    = 32              // calls that wait for a copy; further ones are turned away
+	collapseMultiple = 2.5             // a cold worker collapses under calls beyond this multiple of its present capacity
+	collapseWindow   = 3 * time.Second // over which these calls are counted
+	deadline         = 2 * time.Second // of every class
+	drainGrace       = 2 * time.Second // how long after a drain was announced calls may still arrive at the worker
+	keyWindow        = 8 * time.Second // workers of a hall drop the repeat of a key for so long
+	maxBulletinDelay = 7 * time.Second // an event of an impaired bulletin counts as announced after this, whether or not it has arrived
+	drainAcceptTime  = time.Second     // how long a draining worker still accepts calls
+	maxQueue         = 32              // calls that wait for a copy; further ones are rejected
 )
 
-// Gateways of a lab reach each other at one of these ports, which lie below those that the kernel gives out.
+// The gateways of a lab share one peer port out of this range, which lies below the kernel's ephemeral ports.
 const (
 	firstPeerPort = 20_000
 	peerPorts     = 12_000
 )
 
-// Classes of a lab, by the first letter of a request's body.
+// classes maps the first letter of a request's body to its class.
 var classes = map[byte]string{'r': "read", 'c': "command", 'o': "once"}
 
-// labs counts those of this process: each has a port of its own.
-var labs atomic.Int64
+// labCount counts the labs of this process, each of which has a peer port of its own.
+var labCount atomic.Int64
 
-// Lab is a fleet of gateways and what they meet. Its methods may be called from any goroutine.
+// Lab is a fleet of gateways with its stubs. Its methods may be called from any goroutine.
 type Lab struct {
 	Options
 	Gateways []*Gateway
 	Workers  []*Worker
 
-	peers         int // the port at which gateways reach each other
-	mu            sync.Mutex
-	rng           *rand.Rand
-	begun         time.Time
-	closers       []func()
-	runs          map[string]int       // executions by request
-	keyed         map[string]time.Time // when a key last ran in a hall
-	counts        Counts
-	store         *store
-	paths         [][]*path     // from a gateway to another
-	listsImpaired bool          // some gateway does not hear its bulletin in time
-	step          time.Duration // of the wall clocks so far
-
-	confined *confined
-	ranAt    map[string]int // halls of requests
-	sessions map[string]int // halls of sessions, by epoch and function
+	peerPort          int // at which gateways reach each other
+	mu                sync.Mutex
+	rng               *rand.Rand
+	startedAt         time.Time
+	closers           []func()
+	runsByRequest     map[string]int       // executions by the request's body
+	lastRunByKey      map[string]time.Time // when a key was last executed, by hall and key
+	counts            Counts
+	store             *store
+	paths             [][]*path     // by the indexes of the sending and the receiving gateway; nil without Options.PeerRelays
+	bulletinsImpaired bool          // some gateway is cut off from its bulletin, or receives it late
+	clockStep         time.Duration // sum of the wall clocks' steps so far
+
+	confinement   *confinement   // nil for none
+	hallByRequest map[string]int // where a request was last executed, by its body
+	hallBySession map[string]int // where a session was last served, by epoch and function
 }
 
-// Counts is what the stand-ins have seen.
+// Counts are the observations of the stubs.
 type Counts struct {
-	Kills      int // gateways killed
-	Runs       int // executions of calls
-	Twice      int // requests that ran twice though their class forbids it, keyed ones within a hall and its window
-	Dropped    int // repeats of a key that workers dropped
-	LateSends  int // calls and orders that came to a worker later than the grace after its drain was told
-	Crossed    int // requests sent again since they had crossed the close of an idle connection
-	TurnedAway int // calls that came to a worker that drains
-	Fell       int // cold workers pushed over
-	Loads      int // copies loaded
-	Pushed     int // times that the store was pushed over
-	Outside    int // commands, and loads for them, at a hall where they may not be
-	Split      int // sessions that were at two halls in one epoch
+	Kills          int // gateways killed
+	Runs           int // executions of calls
+	RanTwice       int `json:"Twice"`   // executions beyond the first of a request that is not a read
+	DroppedRepeats int `json:"Dropped"` // repeats of a key that workers have dropped, within a hall and keyWindow
+	LateSends      int // calls and load orders that reached a worker later than drainGrace after its drain was announced
+	Crossed        int // requests that were resent since they had crossed the close of an idle connection
+	Rejected       int `json:"TurnedAway"` // calls that a draining worker has rejected
+	ColdCollapses  int `json:"Fell"`       // cold workers that collapsed under load
+	Loads          int // copies loaded
+	StoreOverloads int `json:"Pushed"`  // how often the store was overloaded
+	OutsideHalls   int `json:"Outside"` // commands, and loads of their functions, outside of the halls of a confinement
+	SplitSessions  int `json:"Split"`   // how often a session changed its hall within one epoch
 }
 
-// New prepares a lab: workers listen, bulletins are ready, gateways have their addresses and are not started yet.
-func New(o Options) (*Lab, error) {
-	d := Defaults
-	o.Gateways, o.Workers, o.Halls, o.Lanes = cmp.Or(o.Gateways, d.Gateways), cmp.Or(o.Workers, d.Workers), cmp.Or(o.Halls, d.Halls),
-		cmp.Or(o.Lanes, d.Lanes)
-	o.Work, o.Load, o.KeepAlive, o.ColdFor = cmp.Or(o.Work, d.Work), cmp.Or(o.Load, d.Load), cmp.Or(o.KeepAlive, d.KeepAlive),
-		cmp.Or(o.ColdFor, d.ColdFor)
-	o.ColdFrom, o.PerSecond = cmp.Or(o.ColdFrom, d.ColdFrom), cmp.Or(o.PerSecond, d.PerSecond)
-	if o.Log == nil {
-		o.Log = io.Discard
+// New creates a lab. Its workers and bulletins listen; its gateways have addresses and configurations, but are not started.
+func New(opts Options) (*Lab, error) {
+	defaults := Defaults
+	opts.Gateways, opts.Workers, opts.Halls, opts.Lanes = cmp.Or(opts.Gateways, defaults.Gateways),
+		cmp.Or(opts.Workers, defaults.Workers), cmp.Or(opts.Halls, defaults.Halls), cmp.Or(opts.Lanes, defaults.Lanes)
+	opts.WorkTime, opts.LoadTime, opts.KeepAlive, opts.ColdFor = cmp.Or(opts.WorkTime, defaults.WorkTime),
+		cmp.Or(opts.LoadTime, defaults.LoadTime), cmp.Or(opts.KeepAlive, defaults.KeepAlive), cmp.Or(opts.ColdFor, defaults.ColdFor)
+	opts.ColdFrom, opts.CallsPerSecond = cmp.Or(opts.ColdFrom, defaults.ColdFrom), cmp.Or(opts.CallsPerSecond, defaults.CallsPerSecond)
+	if opts.Log == nil {
+		opts.Log = io.Discard
 	}
-	if len(o.Program) == 0 || o.Gateways < 1 || o.Gateways > 250 || o.Workers < 1 || o.Workers > 250 || o.Halls < 1 || o.Halls > 8 {
-		return nil, fmt.Errorf("lab: a program, 1 to 250 gateways and workers and 1 to 8 halls are needed: %d, %d, %d",
-			o.Gateways, o.Workers, o.Halls)
+	if len(opts.Program) == 0 || opts.Gateways < 1 || opts.Gateways > 250 || opts.Workers < 1 || opts.Workers > 250 ||
+		opts.Halls < 1 || opts.Halls > 8 {
+		return nil, fmt.Errorf("lab: need a program, 1 to 250 gateways, 1 to 250 workers and 1 to 8 halls; got %d gateways, %d workers, %d halls",
+			opts.Gateways, opts.Workers, opts.Halls)
 	}
-	l := &Lab{Options: o, peers: firstPeerPort + (os.Getpid()+int(labs.Add(1))*7919)%peerPorts, rng: rand.New(rand.NewPCG(o.Seed, 1)), begun: time.Now(), runs: map[string]int{}, keyed: map[string]time.Time{},
-		ranAt: map[string]int{}, sessions: map[string]int{}}
+	l := &Lab{Options: opts, peerPort: firstPeerPort + (os.Getpid()+int(labCount.Add(1))*7919)%peerPorts,
+		rng: rand.New(rand.NewPCG(opts.Seed, 1)), startedAt: time.Now(), runsByRequest: map[string]int{}, lastRunByKey: map[string]time.Time{},
+		hallByRequest: map[string]int{}, hallBySession: map[string]int{}}
 	l.store = &store{lab: l}
-	for i := range o.Workers {
+	for i := range opts.Workers {
 		w, err := newWorker(l, i)
 		if err != nil {
 			return nil, errors.Join(err, l.Close())
 		}
 		l.Workers = append(l.Workers, w)
 	}
-	for i := range o.Gateways {
+	for i := range opts.Gateways {
 		g, err := newGateway(l, i)
 		if err != nil {
 			return nil, errors.Join(err, l.Close())
 		}
 		l.Gateways = append(l.Gateways, g)
 	}
-	if o.Paths {
-		if err := l.lay(); err != nil {
+	if opts.PeerRelays {
+		if err := l.createPaths(); err != nil {
 			return nil, errors.Join(err, l.Close())
 		}
 	}
 	return l, nil
 }
 
-// StartAll starts every gateway and waits until each takes calls.
+// StartAll starts all gateways concurrently and waits until each accepts calls.
 func (l *Lab) StartAll() error { return each(l.Gateways, (*Gateway).Start) }
 
-// each does something to all at once and waits for the last.
+// each calls do for all items concurrently, waits until all calls have returned and joins their errors.
 func each[T any](all []T, do func(T) error) error {
 	errs := make(chan error, len(all))
 	for _, x := range all {
@@ -168,10 +170,10 @@
 	return err
 }
 
-// Close ends all that the lab has started. It may be called more than once.
+// Close ends all processes and stubs of the lab. It may be called more than once.
 func (l *Lab) Close() error {
 	for _, g := range l.Gateways {
-		g.end()
+		g.killAll()
 	}
 	l.mu.Lock()
 	closers := l.closers
@@ -183,21 +185,21 @@
 	return nil
 }
 
-// onClose has f called when the lab ends.
+// onClose registers f to be called by Close.
 func (l *Lab) onClose(f func()) {
 	l.mu.Lock()
 	l.closers = append(l.closers, f)
 	l.mu.Unlock()
 }
 
-// Logf notes a line of what is done, with the time since the lab began.
+// Logf writes a line to Options.Log, with the time since the lab was created.
 func (l *Lab) Logf(format string, a ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fmt.Fprintf(l.Log, "%7.3fs %s\n", time.Since(l.begun).Seconds(), fmt.Sprintf(format, a...))
+	fmt.Fprintf(l.Log, "%7.3fs %s\n", time.Since(l.startedAt).Seconds(), fmt.Sprintf(format, a...))
 }
 
-// Counts returns what the stand-ins have counted so far.
+// Counts returns the counts of the stubs so far.
 func (l *Lab) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,15 +212,15 @@
 	l.mu.Unlock()
 }
 
-// exp draws a time from an exponential distribution.
+// exp draws a duration from an exponential distribution.
 func (l *Lab) exp(mean time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.rng.ExpFloat64() * float64(mean))
 }
 
-// serve accepts connections at an address until the lab ends.
-func (l *Lab) serve(ln net.Listener, handle func(net.Conn)) {
+// acceptAll accepts connections until the listener is closed, and handles each in a goroutine of its own.
+func (l *Lab) acceptAll(ln net.Listener, handle func(net.Conn)) {
 	for {
 		c, err := ln.Accept()
 		if err != nil {
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -10,71 +10,72 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Load says what clients ask for. They do not wait for answers before they go on, but for those of Lines.
+// Load describes the clients. Only persistent clients wait for an answer before they send the next request.
 type Load struct {
-	Rate      float64       // requests a second over the whole fleet, 0 for none but those of Lines
-	Lines     int           // connections at each gateway on which one request follows the other for as long as they stay open
-	Functions int           // of which the first are called most
-	Wait      time.Duration // how long a client waits for one try
-	Unsafe    float64       // part of the requests that must not run twice
-	Keyed     float64       // part that carries a key
-	Apart     bool          // commands have functions of their own
-	Tries     int           // of a request at most; again only where it was refused or nobody was there to take it
+	Rate              float64       // requests per second over the whole fleet, besides those of persistent clients
+	PersistentClients int           // for each gateway; each sends one request after the other on one connection
+	Functions         int           // number of functions, of which the first are called most
+	Wait              time.Duration // for the answer to one try
+	Unsafe            float64       // part of the requests that must not run twice (class once)
+	Keyed             float64       // part of the requests that carry a key (class command)
+	SeparateCommands  bool          // commands have functions of their own, from commandFunctionBase on
+	Tries             int           // most tries of a request; it is tried again only if it was refused or unreached
 }
 
-// Traffic is clients at work.
+// Traffic is a running load of clients.
 type Traffic struct {
-	lab   *Lab
-	load  Load
-	stop  chan struct{}
-	wg    sync.WaitGroup
-	http  *http.Client
-	crowd *http.Client // of those that come at once
+	lab       *Lab
+	load      Load
+	stop      chan struct{}
+	wg        sync.WaitGroup
+	http      *http.Client
+	burstHTTP *http.Client // for requests of bursts
 
-	crowded atomic.Int64 // calls of crowds so far
+	burstCalls atomic.Int64 // calls of bursts so far
 
-	mu      sync.Mutex
-	totals  Totals
-	latency *hdrhistogram.Histogram // microseconds, from the intended start to a served answer
-	late    *hdrhistogram.Histogram // microseconds that clients began after they meant to
-	waits   []waiter
-	marks   []Milestone
-	begun   time.Time
-	bins    [][3]bin          // of 0.1 s by when requests were due, by class
-	met     map[string]string // what clients last met instead of an answer, by the request's body
-	faults  []string          // of these, the first few that were left without an answer
+	mu           sync.Mutex
+	totals       Totals
+	latency      *hdrhistogram.Histogram // microseconds, from the intended start to a served answer
+	lateness     *hdrhistogram.Histogram // microseconds that clients began after a request was due
+	waiters      []waiter
+	milestones   []Milestone
+	begun        time.Time
+	bins         [][3]bin          // by the time at which requests were due, in steps of binLength, and by class
+	lastErrors   map[string]string // the last connection error of requests in flight, by the request's body
+	errorSamples []string          // errors of the first maxErrorSamples unanswered requests
 }
 
-// Start has clients call until the traffic is ended.
-func (l *Lab) Start(o Load) *Traffic {
-	each := &http.Transport{DisableKeepAlives: true}
-	t := &Traffic{lab: l, load: o, stop: make(chan struct{}),
-		http:  &http.Client{Transport: each},
-		crowd: &http.Client{Transport: crossing{RoundTripper: each, lab: l, crowd: true}},
-		met:   map[string]string{}, latency: hdrhistogram.New(1, 60_000_000, 3), late: hdrhistogram.New(1, 60_000_000, 3)}
+// Start starts clients, which send requests until Traffic.End is called.
+func (l *Lab) Start(load Load) *Traffic {
+	transport := &http.Transport{DisableKeepAlives: true}
+	t := &Traffic{lab: l, load: load, stop: make(chan struct{}),
+		http:       &http.Client{Transport: transport},
+		burstHTTP:  &http.Client{Transport: resendTransport{RoundTripper: transport, lab: l, burst: true}},
+		lastErrors: map[string]string{}, latency: hdrhistogram.New(1, 60_000_000, 3), lateness: hdrhistogram.New(1, 60_000_000, 3)}
 	t.begun = time.Now()
-	if o.Rate > 0 {
+	if load.Rate > 0 {
 		t.wg.Add(1)
-		go t.pace(rand.New(rand.NewPCG(l.Seed, 2)), t.begun)
+		go t.sendAtRate(rand.New(rand.NewPCG(l.Seed, 2)), t.begun)
 	}
 	if l.Voters > 0 {
 		for _, g := range l.Gateways {
 			t.wg.Add(1)
-			go t.front(g)
+			go t.watchReadiness(g)
 		}
 	}
-	for i := range o.Lines * len(l.Gateways) {
+	for i := range load.PersistentClients * len(l.Gateways) {
 		t.wg.Add(1)
-		go t.line(i, rand.New(rand.NewPCG(l.Seed, 3+uint64(i))))
+		go t.persistentClient(i, rand.New(rand.NewPCG(l.Seed, 3+uint64(i))))
 	}
 	return t
 }
 
-// pace begins a request whenever one is due, however late it comes to it.
-func (t *Traffic) pace(rng *rand.Rand, begun time.Time) {
+// sendAtRate starts a request at each due time of a Poisson process with Load.Rate. Requests that it starts late keep their due
+// times, so that lateness is measured. It also records a milestone every 100 ms.
+func (t *Traffic) sendAtRate(rng *rand.Rand, begun time.Time) {
 	defer t.wg.Done()
 	due := begun
-	mark := begun
+	lastMilestone := begun
 	for n := 0; ; n++ {
 		due = due.Add(time.Duration(rng.ExpFloat64() / t.load.Rate * float64(time.Second)))
 		select {
@@ -82,33 +83,33 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		if time.Since(mark) > 100*time.Millisecond {
-			mark = time.Now()
+		if time.Since(lastMilestone) > 100*time.Millisecond {
+			lastMilestone = time.Now()
 			t.mu.Lock()
-			t.marks = append(t.marks, Milestone{mark.Sub(begun), t.totals})
+			t.milestones = append(t.milestones, Milestone{lastMilestone.Sub(begun), t.totals})
 			t.mu.Unlock()
 		}
-		kind, fn := t.draw(rng)
+		class, fn := t.draw(rng)
 		t.wg.Add(1)
-		go t.request(n, kind, fn, rng.IntN(len(t.lab.Gateways)), due)
+		go t.request(n, class, fn, rng.IntN(len(t.lab.Gateways)), due)
 	}
 }
 
-// draw returns a request's class and function.
-func (t *Traffic) draw(rng *rand.Rand) (kind byte, fn int) {
-	kind = 'r'
+// draw returns a random class (its letter) and function for a request.
+func (t *Traffic) draw(rng *rand.Rand) (class byte, fn int) {
+	class = 'r'
 	if x := rng.Float64(); x < t.load.Unsafe {
-		kind = 'o'
+		class = 'o'
 	} else if x < t.load.Unsafe+t.load.Keyed {
-		kind = 'c'
+		class = 'c'
 	}
-	if fn = int(min(rng.ExpFloat64()/4, 0.999) * float64(t.load.Functions)); t.load.Apart && kind == 'c' {
-		fn += apart
+	if fn = int(min(rng.ExpFloat64()/4, 0.999) * float64(t.load.Functions)); t.load.SeparateCommands && class == 'c' {
+		fn += commandFunctionBase
 	}
-	return kind, fn
+	return class, fn
 }
 
-// End has no more requests begin, waits for those that are out, and returns the counts.
+// End stops the clients, waits for the requests in flight, and returns the counts.
 func (t *Traffic) End() Totals {
 	close(t.stop)
 	t.wg.Wait()
--- a/internal/lab/outage.go
+++ b/internal/lab/outage.go
@@ -2,79 +2,81 @@
 
 import "time"
 
-// ListLink is the relay between the gateway and its bulletin.
-func (g *Gateway) ListLink() *Relay { return g.listLink }
+// BulletinLink returns the relay between the gateway and its bulletin.
+func (g *Gateway) BulletinLink() *Relay { return g.bulletinLink }
 
-// SlowList has all that the gateway hears of its bulletin come so much later, until HealLists.
-func (g *Gateway) SlowList(by time.Duration) {
-	g.lab.impairLists(true)
-	g.lab.Logf("the list of %s comes %v late", g.Name, by)
-	g.listLink.Set(Fault{}, Fault{Delay: by})
+// DelayBulletin delays all messages of the bulletin to this gateway, until HealBulletins.
+func (g *Gateway) DelayBulletin(by time.Duration) {
+	g.lab.setBulletinsImpaired(true)
+	g.lab.Logf("the bulletin of %s is delayed by %v", g.Name, by)
+	g.bulletinLink.Set(Fault{}, Fault{Delay: by})
 }
 
-// CutLists has no gateway hear its bulletin: open connections fall silent, and new ones are taken and say nothing.
-func (l *Lab) CutLists() {
-	l.impairLists(true)
-	l.Logf("the lists are out of reach")
+// CutBulletins cuts all gateways off from their bulletins: open connections fall silent, and new ones are accepted but stay
+// silent.
+func (l *Lab) CutBulletins() {
+	l.setBulletinsImpaired(true)
+	l.Logf("all bulletins are unreachable")
 	for _, g := range l.Gateways {
-		g.listLink.Cut()
+		g.bulletinLink.Cut()
 	}
 }
 
-// RefuseLists has the bulletins of all gateways go down: connections are reset, open and new ones.
-func (l *Lab) RefuseLists() {
-	l.impairLists(true)
-	l.Logf("the lists are down")
+// RefuseBulletins takes the bulletins of all gateways down: open and new connections are reset.
+func (l *Lab) RefuseBulletins() {
+	l.setBulletinsImpaired(true)
+	l.Logf("all bulletins are down")
 	for _, g := range l.Gateways {
-		g.listLink.Refuse()
+		g.bulletinLink.Refuse()
 	}
 }
 
-// HealLists ends CutLists, RefuseLists and SlowList.
-func (l *Lab) HealLists() {
-	l.Logf("the lists are within reach again")
+// HealBulletins ends the effects of CutBulletins, RefuseBulletins and DelayBulletin.
+func (l *Lab) HealBulletins() {
+	l.Logf("all bulletins are reachable again")
 	for _, g := range l.Gateways {
-		g.listLink.Heal()
+		g.bulletinLink.Heal()
 	}
-	l.impairLists(false)
+	l.setBulletinsImpaired(false)
 }
 
-func (l *Lab) impairLists(on bool) {
+func (l *Lab) setBulletinsImpaired(impaired bool) {
 	l.mu.Lock()
-	l.listsImpaired = on
+	l.bulletinsImpaired = impaired
 	l.mu.Unlock()
 }
 
-// listsTold is when what the lists have to tell from now on counts as told.
-func (l *Lab) listsTold(now time.Time) time.Time {
+// announcedAt returns when an event that is published now counts as announced to all gateways: at once, or maxBulletinDelay later
+// while a bulletin is impaired.
+func (l *Lab) announcedAt(now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.listsImpaired {
-		return now.Add(toldWithin)
+	if l.bulletinsImpaired {
+		return now.Add(maxBulletinDelay)
 	}
 	return now
 }
 
-// GraceIsOver reports whether nothing new may come to the worker any more, which drains or was left out.
-func (w *Worker) GraceIsOver() bool {
+// DrainGraceOver reports whether the worker drains or is banned, and no further calls may reach it.
+func (w *Worker) DrainGraceOver() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.drained.IsZero() && time.Since(w.drained) > drainGrace
+	return !w.drainAnnouncedAt.IsZero() && time.Since(w.drainAnnouncedAt) > drainGrace
 }
 
-// listed is the worker's phase and start as the list has them.
+// listed returns the worker's phase and start time (Unix ms) as the list has them.
 func (w *Worker) listed() (phase string, started int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if phase = "active"; !w.drains.IsZero() {
+	if phase = "active"; !w.drainingSince.IsZero() {
 		phase = "leaving"
 	}
-	return phase, w.toldStart
+	return phase, w.listedStart
 }
 
-// draining reports whether the worker has been draining for so long.
-func (w *Worker) draining(long time.Duration) bool {
+// drainingFor reports whether the worker drains, and has done so for at least the duration.
+func (w *Worker) drainingFor(duration time.Duration) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.drains.IsZero() && time.Since(w.drains) >= long
+	return !w.drainingSince.IsZero() && time.Since(w.drainingSince) >= duration
 }
--- a/internal/lab/partition.go
+++ b/internal/lab/partition.go
@@ -9,57 +9,59 @@
 	"time"
 )
 
-// Impairment is what becomes of what one gateway says to another, in that direction alone. The zero value lets all pass.
+// Impairment is what happens to messages from one gateway to another, in that direction only. The zero value lets all of them pass.
 type Impairment struct {
-	Cut     bool          // nothing arrives: datagrams are lost, connections wait until the cut is over
-	Delay   time.Duration // all comes so much later
-	Drop    float64       // so large a part of the datagrams is lost
-	Reorder float64       // so large a part of the datagrams comes after the next one
+	Cut     bool          // nothing arrives: datagrams are lost, connections stall until the cut is over
+	Delay   time.Duration // added to datagrams and to the bytes of connections
+	Drop    float64       // part of the datagrams that is lost
+	Reorder float64       // part of the datagrams that is delivered after the next one
 }
 
-// path is the way between two gateways, begun by one of them: a relay for connections and one for datagrams.
+// path carries what one gateway initiates to another: a relay for the connections that it opens, and one for its datagrams.
 type path struct {
 	tcp *Relay
-	udp *datagrams
+	udp *datagramRelay
 }
 
-// datagrams passes datagrams on in one direction; answers go by the path of the other gateway.
-type datagrams struct {
-	in   *net.UDPConn
-	out  *net.UDPConn
-	mu   sync.Mutex
-	fate Impairment
-	rng  *rand.Rand
-	kept []byte // one that comes after the next
+// datagramRelay forwards datagrams in one direction; answers use the path of the other gateway.
+type datagramRelay struct {
+	in         *net.UDPConn
+	out        *net.UDPConn
+	mu         sync.Mutex
+	impairment Impairment
+	rng        *rand.Rand
+	heldBack   []byte // a datagram that is delivered after the next one
 }
 
-func newDatagrams(l *Lab, at, to string, seed uint64) (*datagrams, error) {
-	a, errA := net.ResolveUDPAddr("udp", at)
-	b, errB := net.ResolveUDPAddr("udp", to)
-	if err := errors.Join(errA, errB); err != nil {
+func newDatagramRelay(l *Lab, listenAddr, targetAddr string, seed uint64) (*datagramRelay, error) {
+	listen, listenErr := net.ResolveUDPAddr("udp", listenAddr)
+	target, targetErr := net.ResolveUDPAddr("udp", targetAddr)
+	if err := errors.Join(listenErr, targetErr); err != nil {
 		return nil, err
 	}
-	d := &datagrams{rng: rand.New(rand.NewPCG(l.Seed, seed))}
+	d := &datagramRelay{rng: rand.New(rand.NewPCG(l.Seed, seed))}
 	var err error
-	if d.in, err = net.ListenUDP("udp", a); err != nil {
+	if d.in, err = net.ListenUDP("udp", listen); err != nil {
 		return nil, err
 	}
 	l.onClose(func() { d.in.Close() })
-	if d.out, err = net.DialUDP("udp", nil, b); err != nil {
+	if d.out, err = net.DialUDP("udp", nil, target); err != nil {
 		return nil, err
 	}
 	l.onClose(func() { d.out.Close() })
-	go d.pass()
+	go d.run()
 	return d, nil
 }
 
-func (d *datagrams) set(f Impairment) {
+// set replaces the impairment; a datagram that is held back is lost.
+func (d *datagramRelay) set(impairment Impairment) {
 	d.mu.Lock()
-	d.fate, d.kept = f, nil
+	d.impairment, d.heldBack = impairment, nil
 	d.mu.Unlock()
 }
 
-func (d *datagrams) pass() {
+// run forwards datagrams until the relay is closed.
+func (d *datagramRelay) run() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := d.in.Read(buf)
@@ -69,49 +71,49 @@
 		if err != nil {
 			continue
 		}
-		for _, b := range d.take(append([]byte(nil), buf[:n]...)) {
-			d.out.Write(b) // the gateway may be down: then it is lost
+		for _, datagram := range d.process(append([]byte(nil), buf[:n]...)) {
+			d.out.Write(datagram) // lost if the gateway is down
 		}
 	}
 }
 
-// take returns what is passed on now that a datagram has come.
-func (d *datagrams) take(b []byte) [][]byte {
+// process takes a received datagram and returns the datagrams to forward now, in their order.
+func (d *datagramRelay) process(datagram []byte) [][]byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.fate
-	if f.Cut || f.Drop > 0 && d.rng.Float64() < f.Drop {
+	impairment := d.impairment
+	if impairment.Cut || impairment.Drop > 0 && d.rng.Float64() < impairment.Drop {
 		return nil
 	}
-	if f.Delay > 0 {
-		time.AfterFunc(f.Delay, func() { d.out.Write(b) })
+	if impairment.Delay > 0 {
+		time.AfterFunc(impairment.Delay, func() { d.out.Write(datagram) })
 		return nil
 	}
-	if d.kept == nil && f.Reorder > 0 && d.rng.Float64() < f.Reorder {
-		d.kept = b
+	if d.heldBack == nil && impairment.Reorder > 0 && d.rng.Float64() < impairment.Reorder {
+		d.heldBack = datagram
 		return nil
 	}
-	out := [][]byte{b}
-	if d.kept != nil {
-		out, d.kept = append(out, d.kept), nil
+	out := [][]byte{datagram}
+	if d.heldBack != nil {
+		out, d.heldBack = append(out, d.heldBack), nil
 	}
 	return out
 }
 
-// lay makes the paths between all gateways, on which they reach each other from then on.
-func (l *Lab) lay() error {
+// createPaths creates the paths between all pairs of gateways.
+func (l *Lab) createPaths() error {
 	l.paths = make([][]*path, len(l.Gateways))
 	for i := range l.Gateways {
 		l.paths[i] = make([]*path, len(l.Gateways))
-		for j, to := range l.Gateways {
+		for j, target := range l.Gateways {
 			if i == j {
 				continue
 			}
-			tcp, err := newRelay(l, fmt.Sprintf("127.79.%d.%d:0", i+1, j+1), func() string { return to.peer })
+			tcp, err := newRelay(l, fmt.Sprintf("127.79.%d.%d:0", i+1, j+1), func() string { return target.peerAddr })
 			if err != nil {
 				return err
 			}
-			udp, err := newDatagrams(l, tcp.Addr(), to.peer, uint64(1000*i+j))
+			udp, err := newDatagramRelay(l, tcp.Addr(), target.peerAddr, uint64(1000*i+j))
 			if err != nil {
 				return err
 			}
@@ -121,37 +123,41 @@
 	return nil
 }
 
-// Impair gives what from says to to a fate; what to says to from is another question. Gateways count from 0.
-func (l *Lab) Impair(from, to int, f Impairment) {
-	l.paths[from][to].udp.set(f)
-	fault := Fault{Hold: f.Cut, Delay: f.Delay}
-	l.paths[from][to].tcp.set(0, fault) // on connections that it has opened,
-	l.paths[to][from].tcp.set(1, fault) // and on those of the other
+// Impair sets the impairment of messages from one gateway to another, and leaves the opposite direction alone. Gateways count
+// from 0.
+func (l *Lab) Impair(from, to int, impairment Impairment) {
+	l.paths[from][to].udp.set(impairment)
+	fault := Fault{Hold: impairment.Cut, Delay: impairment.Delay}
+	l.paths[from][to].tcp.set(0, fault) // connections that from has opened
+	l.paths[to][from].tcp.set(1, fault) // connections that to has opened
 }
 
-// Partition cuts the fleet into groups that don't hear each other; a gateway in none of them is alone.
+// Partition splits the fleet into groups that can't reach each other; a gateway in none of the groups is alone.
 func (l *Lab) Partition(groups ...[]int) {
-	l.Logf("the fleet is cut into %v", groups)
-	of := map[int]int{}
-	for k, g := range groups {
-		for _, i := range g {
-			of[i] = k + 1
+	l.Logf("the fleet is partitioned into %v", groups)
+	groupOf := map[int]int{}
+	for number, group := range groups {
+		for _, i := range group {
+			groupOf[i] = number + 1
 		}
 	}
-	l.all(func(i, j int) Impairment { return Impairment{Cut: i != j && (of[i] == 0 || of[i] != of[j])} })
+	l.impairAll(func(i, j int) Impairment {
+		return Impairment{Cut: i != j && (groupOf[i] == 0 || groupOf[i] != groupOf[j])}
+	})
 }
 
-// Heal has all gateways hear each other again.
+// Heal removes all impairments between gateways.
 func (l *Lab) Heal() {
-	l.Logf("all gateways hear each other")
-	l.all(func(int, int) Impairment { return Impairment{} })
+	l.Logf("all gateways reach each other again")
+	l.impairAll(func(int, int) Impairment { return Impairment{} })
 }
 
-func (l *Lab) all(f func(i, j int) Impairment) {
+// impairAll sets the impairment of each ordered pair of gateways.
+func (l *Lab) impairAll(impairment func(i, j int) Impairment) {
 	for i := range l.Gateways {
 		for j := range l.Gateways {
 			if i != j {
-				l.Impair(i, j, f(i, j))
+				l.Impair(i, j, impairment(i, j))
 			}
 		}
 	}
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Step is one thing that is done to the fleet, At seconds after the first request. What is one of kill, start, pause,
-// resume, upgrade, end, mute, unmute (of a gateway), crash, restart, drain (of a worker), reset, cut, heal (of the link
-// between a gateway and a worker), power_off and power_on (of all gateways and workers). Gateways and workers count from 1.
+// Step is one fault or other action on the fleet, At seconds after the first request. What is one of kill, start, pause, resume,
+// upgrade, end, mute and unmute (of a gateway), crash, restart and drain (of a worker), reset, cut and heal (of the link between a
+// gateway and a worker), power_off and power_on (of all gateways and workers). Gateways and workers count from 1.
 type Step struct {
 	At      float64 `toml:"at"`
 	What    string  `toml:"what"`
@@ -17,8 +17,8 @@
 	Worker  int     `toml:"worker"`
 }
 
-// steps are what a Step may ask for, and whether it names a gateway and a worker.
-var steps = map[string]struct {
+// stepKinds maps each value of Step.What to its action, and states whether the step needs a gateway and a worker.
+var stepKinds = map[string]struct {
 	gateway, worker bool
 	do              func(*Lab, *Gateway, *Worker) error
 }{
@@ -33,32 +33,33 @@
 	"crash":     {false, true, func(_ *Lab, _ *Gateway, w *Worker) error { w.Crash(); return nil }},
 	"restart":   {false, true, func(_ *Lab, _ *Gateway, w *Worker) error { return w.Restart() }},
 	"drain":     {false, true, func(_ *Lab, _ *Gateway, w *Worker) error { w.Drain(); return nil }},
-	"reset":     {true, true, func(_ *Lab, g *Gateway, w *Worker) error { g.Link(w.n).Reset(); return nil }},
-	"cut":       {true, true, func(_ *Lab, g *Gateway, w *Worker) error { g.Link(w.n).Cut(); return nil }},
-	"heal":      {true, true, func(_ *Lab, g *Gateway, w *Worker) error { g.Link(w.n).Heal(); return nil }},
+	"reset":     {true, true, func(_ *Lab, g *Gateway, w *Worker) error { g.Link(w.index).Reset(); return nil }},
+	"cut":       {true, true, func(_ *Lab, g *Gateway, w *Worker) error { g.Link(w.index).Cut(); return nil }},
+	"heal":      {true, true, func(_ *Lab, g *Gateway, w *Worker) error { g.Link(w.index).Heal(); return nil }},
 	"power_off": {false, false, func(l *Lab, _ *Gateway, _ *Worker) error { l.PowerLoss(l.Gateways, l.Workers); return nil }},
-	"power_on":  {false, false, func(l *Lab, _ *Gateway, _ *Worker) error { return l.PowerBack(l.Gateways, l.Workers) }},
+	"power_on":  {false, false, func(l *Lab, _ *Gateway, _ *Worker) error { return l.PowerRestore(l.Gateways, l.Workers) }},
 }
 
-// check reports what is wrong with a step.
-func (l *Lab) check(s Step) error {
-	k, ok := steps[s.What]
+// checkStep returns an error if a step is unknown or names a gateway or worker that doesn't exist.
+func (l *Lab) checkStep(step Step) error {
+	kind, ok := stepKinds[step.What]
 	switch {
 	case !ok:
-		return fmt.Errorf("lab: fault %q is unknown", s.What)
-	case k.gateway && (s.Gateway < 1 || s.Gateway > len(l.Gateways)):
-		return fmt.Errorf("lab: %s at %v: gateway %d of %d", s.What, s.At, s.Gateway, len(l.Gateways))
-	case k.worker && (s.Worker < 1 || s.Worker > len(l.Workers)):
-		return fmt.Errorf("lab: %s at %v: worker %d of %d", s.What, s.At, s.Worker, len(l.Workers))
+		return fmt.Errorf("lab: unknown fault %q", step.What)
+	case kind.gateway && (step.Gateway < 1 || step.Gateway > len(l.Gateways)):
+		return fmt.Errorf("lab: fault %s at %v s: no gateway %d, the fleet has gateways 1 to %d", step.What, step.At, step.Gateway,
+			len(l.Gateways))
+	case kind.worker && (step.Worker < 1 || step.Worker > len(l.Workers)):
+		return fmt.Errorf("lab: fault %s at %v s: no worker %d, the fleet has workers 1 to %d", step.What, step.At, step.Worker, len(l.Workers))
 	}
 	return nil
 }
 
-// Play does the steps at their times, and returns after the whole of so long. A step that can't be done is told, and the
-// others are done all the same; a plan that names what is not there is refused before anything is.
-func (l *Lab) Play(plan []Step, length time.Duration) (err error) {
+// RunSteps runs the steps of a plan at their times, and returns when the duration is over. The error of a step that fails is
+// returned at the end, and the other steps run nevertheless. A plan with an invalid step fails before any step runs.
+func (l *Lab) RunSteps(plan []Step, duration time.Duration) (err error) {
 	for _, s := range plan {
-		err = errors.Join(err, l.check(s))
+		err = errors.Join(err, l.checkStep(s))
 	}
 	if err != nil {
 		return err
@@ -70,15 +71,15 @@
 		<-time.After(time.Until(begun.Add(time.Duration(s.At * float64(time.Second)))))
 		var g *Gateway
 		var w *Worker
-		k := steps[s.What]
-		if k.gateway {
+		kind := stepKinds[s.What]
+		if kind.gateway {
 			g = l.Gateways[s.Gateway-1]
 		}
-		if k.worker {
+		if kind.worker {
 			w = l.Workers[s.Worker-1]
 		}
-		err = errors.Join(err, k.do(l, g, w))
+		err = errors.Join(err, kind.do(l, g, w))
 	}
-	<-time.After(time.Until(begun.Add(length)))
+	<-time.After(time.Until(begun.Add(duration)))
 	return err
 }
--- a/internal/lab/poll.go
+++ b/internal/lab/poll.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-const pollLimit = 500 * time.Millisecond // for a gateway to say whether it takes clients
+const pollTimeout = 500 * time.Millisecond // for a gateway's answer to a readiness check
 
-// poll asks a gateway every so often whether it takes clients, until stop is closed. seen gets the status of each answer, or 0 where
-// there was none.
-func poll(g *Gateway, every time.Duration, stop <-chan struct{}, seen func(status int)) {
-	client := &http.Client{Timeout: pollLimit, Transport: &http.Transport{DisableKeepAlives: true}}
-	ticker := time.NewTicker(every)
+// poll requests the readiness of a gateway at each interval until stop is closed. onStatus receives the HTTP status of each answer,
+// or 0 if there was none.
+func poll(g *Gateway, interval time.Duration, stop <-chan struct{}, onStatus func(status int)) {
+	client := &http.Client{Timeout: pollTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -21,10 +21,10 @@
 		}
 		resp, err := client.Get("http://" + g.Addr + "/check")
 		if err != nil {
-			seen(0)
+			onStatus(0)
 			continue
 		}
 		resp.Body.Close()
-		seen(resp.StatusCode)
+		onStatus(resp.StatusCode)
 	}
 }
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -7,79 +7,79 @@
 	"time"
 )
 
-// Fault is what a relay does to what passes in one direction. The zero value lets all pass.
+// Fault is what a relay does to the bytes in one direction. The zero value lets all of them pass.
 type Fault struct {
-	Delay time.Duration // what passes comes so much later
-	Drop  bool          // what passes is lost, and the sender sees nothing of it
-	Hold  bool          // what passes waits until the fault is over, as TCP has it wait for a link that comes back
-	Rate  int           // bytes a second at most, 0 for no limit
-	Piece int           // bytes that are passed on at a time at most, 0 for all: reads and writes come short
+	Delay          time.Duration // added to each read that is forwarded
+	Drop           bool          // bytes are lost, and the sender doesn't notice
+	Hold           bool          // bytes wait until the fault is over, as TCP retransmits over a link that recovers
+	BytesPerSecond int           // 0 for no limit
+	MaxChunk       int           // most bytes of one write to the receiver, which so gets short reads; 0 for no limit
 }
 
-// Relay passes TCP connections on, each direction with faults of its own. One direction dropped alone is a half-open
-// connection; both are a cut that nobody is told of; Reset is one that both sides see.
+// Relay forwards TCP connections to a target, each direction with faults of its own. Drop in one direction makes a half-open
+// connection, and in both a partition that neither side notices; after Reset both sides notice.
 type Relay struct {
 	ln      net.Listener
-	to      func() string
+	target  func() string
 	mu      sync.Mutex
-	over    sync.Cond // a fault has changed
-	fault   [2]Fault  // towards the target, and back
+	changed sync.Cond // broadcast when faults or closed change
+	faults  [2]Fault  // 0: to the target, 1: from the target
 	conns   map[net.Conn]bool
-	cut     bool // no connection comes up
+	cut     bool // new connections are accepted, but not forwarded
 	refuses bool // new connections are reset at once
-	ended   bool
+	closed  bool
 }
 
-// newRelay listens on loopback and passes on to the address that to returns when a connection comes.
-func newRelay(l *Lab, at string, to func() string) (*Relay, error) {
-	ln, err := net.Listen("tcp", at)
+// newRelay listens on loopback and forwards each connection to the address that target returns when the connection is accepted.
+func newRelay(l *Lab, listenAddr string, target func() string) (*Relay, error) {
+	ln, err := net.Listen("tcp", listenAddr)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{ln: ln, to: to, conns: map[net.Conn]bool{}}
-	r.over.L = &r.mu
-	l.onClose(func() { ln.Close(); r.end() })
-	go l.serve(ln, r.handle)
+	r := &Relay{ln: ln, target: target, conns: map[net.Conn]bool{}}
+	r.changed.L = &r.mu
+	l.onClose(func() { ln.Close(); r.close() })
+	go l.acceptAll(ln, r.handle)
 	return r, nil
 }
 
-// end lets go of whatever waits for a fault to be over.
-func (r *Relay) end() {
+// close resets all connections and wakes whatever waits for a fault to be over.
+func (r *Relay) close() {
 	r.mu.Lock()
-	r.ended = true
-	r.over.Broadcast()
+	r.closed = true
+	r.changed.Broadcast()
 	r.mu.Unlock()
 	r.Reset()
 }
 
-// Addr is where the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Set gives the faults of both directions, also to connections that are open.
-func (r *Relay) Set(there, back Fault) {
+// Set sets the faults of both directions, also for open connections.
+func (r *Relay) Set(toTarget, fromTarget Fault) {
 	r.mu.Lock()
-	r.fault = [2]Fault{there, back}
-	r.over.Broadcast()
+	r.faults = [2]Fault{toTarget, fromTarget}
+	r.changed.Broadcast()
 	r.mu.Unlock()
 }
 
-// set gives the fault of one direction.
-func (r *Relay) set(way int, f Fault) {
+// set sets the fault of one direction: 0 to the target, 1 from the target.
+func (r *Relay) set(direction int, fault Fault) {
 	r.mu.Lock()
-	r.fault[way] = f
-	r.over.Broadcast()
+	r.faults[direction] = fault
+	r.changed.Broadcast()
 	r.mu.Unlock()
 }
 
-// Cut has nothing pass either way, as if the cable were drawn: connections stay open and silent, new ones are taken and
-// say nothing. Heal has new ones pass again; what was open is reset.
+// Cut lets nothing pass in either direction, as if the cable were pulled: connections stay open and silent, and new ones are
+// accepted but stay silent. Heal ends the cut; it resets connections that are still open.
 func (r *Relay) Cut() {
 	r.mu.Lock()
-	r.cut, r.fault = true, [2]Fault{{Drop: true}, {Drop: true}}
+	r.cut, r.faults = true, [2]Fault{{Drop: true}, {Drop: true}}
 	r.mu.Unlock()
 }
 
-// Refuse breaks every open connection and resets new ones, as a host does on which nothing listens. Heal ends it.
+// Refuse resets open and new connections, as a host does on which nothing listens. Heal ends it.
 func (r *Relay) Refuse() {
 	r.mu.Lock()
 	r.refuses = true
@@ -87,16 +87,16 @@
 	r.Reset()
 }
 
-// Heal ends a cut or a refusal.
+// Heal ends Cut, Refuse and all faults, and resets open connections.
 func (r *Relay) Heal() {
 	r.mu.Lock()
-	r.cut, r.refuses, r.fault = false, false, [2]Fault{}
-	r.over.Broadcast()
+	r.cut, r.refuses, r.faults = false, false, [2]Fault{}
+	r.changed.Broadcast()
 	r.mu.Unlock()
 	r.Reset()
 }
 
-// Reset breaks every open connection.
+// Reset resets all open connections.
 func (r *Relay) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,69 +109,70 @@
 	clear(r.conns)
 }
 
-// await waits until a direction is not held.
-func (r *Relay) await(way int) Fault {
+// waitWhileHeld waits until a direction is not held, or the relay is closed, and returns the direction's fault.
+func (r *Relay) waitWhileHeld(direction int) Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.fault[way].Hold && !r.ended {
-		r.over.Wait()
+	for r.faults[direction].Hold && !r.closed {
+		r.changed.Wait()
 	}
-	return r.fault[way]
+	return r.faults[direction]
 }
 
-func (r *Relay) handle(near net.Conn) {
+// handle forwards an accepted connection until one of its ends is closed.
+func (r *Relay) handle(client net.Conn) {
 	r.mu.Lock()
-	r.conns[near] = true
+	r.conns[client] = true
 	cut, refuses := r.cut, r.refuses
 	r.mu.Unlock()
 	if refuses {
-		near.(*net.TCPConn).SetLinger(0)
-		r.drop(near)
+		client.(*net.TCPConn).SetLinger(0)
+		r.closeConn(client)
 		return
 	}
 	if cut {
-		io.Copy(io.Discard, near)
-		r.drop(near)
+		io.Copy(io.Discard, client)
+		r.closeConn(client)
 		return
 	}
-	r.await(0)
-	far, err := net.DialTimeout("tcp", r.to(), time.Second)
+	r.waitWhileHeld(0)
+	server, err := net.DialTimeout("tcp", r.target(), time.Second)
 	if err != nil {
-		near.(*net.TCPConn).SetLinger(0)
-		r.drop(near)
+		client.(*net.TCPConn).SetLinger(0)
+		r.closeConn(client)
 		return
 	}
 	r.mu.Lock()
-	r.conns[far] = true
+	r.conns[server] = true
 	r.mu.Unlock()
-	go r.pump(0, near, far)
-	r.pump(1, far, near)
+	go r.pump(0, client, server)
+	r.pump(1, server, client)
 }
 
-func (r *Relay) drop(c net.Conn) {
+func (r *Relay) closeConn(c net.Conn) {
 	c.Close()
 	r.mu.Lock()
 	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
-// pump passes one direction on until it ends, and ends the other with it.
-func (r *Relay) pump(way int, from, to net.Conn) {
-	defer r.drop(from)
-	defer r.drop(to)
+// pump forwards one direction until it ends, and then closes both connections.
+func (r *Relay) pump(direction int, from, to net.Conn) {
+	defer r.closeConn(from)
+	defer r.closeConn(to)
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		f := r.await(way)
-		if n > 0 && !f.Drop {
-			wait := f.Delay
-			if f.Rate > 0 {
-				wait += time.Duration(n) * time.Second / time.Duration(f.Rate)
+		fault := r.waitWhileHeld(direction)
+		if n > 0 && !fault.Drop {
+			wait := fault.Delay
+			if fault.BytesPerSecond > 0 {
+				wait += time.Duration(n) * time.Second / time.Duration(fault.BytesPerSecond)
 			}
 			if wait > 0 {
-				time.Sleep(wait) // the relay's fault is to take time
+				time.Sleep(wait) // the delay of the fault
 			}
-			if err := inPieces(to, buf[:n], f.Piece); err != nil {
+			if err := writeInChunks(to, buf[:n], fault.MaxChunk); err != nil {
 				return
 			}
 		}
@@ -181,17 +182,17 @@
 	}
 }
 
-// inPieces writes all, so many bytes at a time at most.
-func inPieces(to io.Writer, all []byte, most int) error {
-	if most <= 0 {
-		most = len(all)
+// writeInChunks writes all data, with at most maxChunk bytes in each write; 0 for no limit.
+func writeInChunks(to io.Writer, data []byte, maxChunk int) error {
+	if maxChunk <= 0 {
+		maxChunk = len(data)
 	}
-	for len(all) > 0 {
-		n := min(most, len(all))
-		if _, err := to.Write(all[:n]); err != nil {
+	for len(data) > 0 {
+		n := min(maxChunk, len(data))
+		if _, err := to.Write(data[:n]); err != nil {
 			return err
 		}
-		all = all[n:]
+		data = data[n:]
 	}
 	return nil
 }
--- a/internal/lab/scale/events.go
+++ b/internal/lab/scale/events.go
@@ -5,25 +5,27 @@
 )
 
 const (
-	eventLimit = 75 * time.Second
-	restarts   = 5
+	eventTimeout = 75 * time.Second // for all gateways to notice an event or its end
+	restartCount = 5
 )
 
-// events plays what befalls a fleet, at its largest size.
-func (r *run) events() error {
-	if len(r.hollow) < Target.Zones {
+// measureEvents measures restarts, the loss of a zone and the partition of a region, at the fleet's largest size. It does nothing if
+// there are fewer hollow gateways than zones.
+func (r *run) measureEvents() error {
+	if len(r.hollowGateways) < Target.Zones {
 		return nil
 	}
-	steps := []func() (EventResult, error){r.restart, r.loseZone}
-	if r.o.CutFor > 0 {
-		steps = append(steps, r.cutRegion)
+	steps := []func() (EventResult, error){r.restartGateways, r.loseZone}
+	if r.opts.PartitionFor > 0 {
+		steps = append(steps, r.partitionRegion)
 	}
 	for _, step := range steps {
-		wrong, sent := r.wrong.Load(), r.bytes(0)
+		wrongBefore, sentBefore := r.wrongSuspicions.Load(), r.transferred(0)
 		e, err := step()
-		e.Gateways, e.Wrong, e.Bytes = len(r.hollow)+realGateways, int(r.wrong.Load()-wrong), float64(r.bytes(0)-sent)
-		r.out.Events = append(r.out.Events, e)
-		r.o.Log("%s: the others know after %.0f ms, and that it is over after %.0f ms", e.What, e.Ms, e.HealMs)
+		e.Gateways, e.WrongSuspicions, e.Bytes = len(r.hollowGateways)+realGateways, int(r.wrongSuspicions.Load()-wrongBefore),
+			float64(r.transferred(0)-sentBefore)
+		r.result.Events = append(r.result.Events, e)
+		r.opts.Log("%s: noticed by the others after %.0f ms, its end after %.0f ms", e.What, e.NoticedMs, e.HealedMs)
 		if err != nil {
 			return err
 		}
@@ -31,108 +33,108 @@
 	return nil
 }
 
-// restart ends gateways one after the other as operators do, and starts each anew.
-func (r *run) restart() (e EventResult, err error) {
+// restartGateways stops gateways one after the other as operators do, and starts each again with nothing in memory.
+func (r *run) restartGateways() (e EventResult, err error) {
 	e.What = "a gateway is restarted (mean of 5)"
-	all := int64(len(r.hollow) + realGateways)
-	for i := range restarts {
-		h := r.hollow[len(r.hollow)-1-i]
-		r.gone(h)
+	all := int64(len(r.hollowGateways) + realGateways)
+	for i := range restartCount {
+		h := r.hollowGateways[len(r.hollowGateways)-1-i]
+		r.expectGone(h)
 		begun := time.Now()
 		h.stop()
-		if err := r.await(eventLimit, func(h *hollow) bool { return h.alive.Load() < all }); err != nil {
+		if err := r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() < all }); err != nil {
 			return e, err
 		}
-		e.Ms += ms(time.Since(begun)) / restarts
+		e.NoticedMs += ms(time.Since(begun)) / restartCount
 		begun = time.Now()
-		h.alive.Store(0)
-		h.applied.Store(0)
-		h.begin()
-		if err := r.await(eventLimit, func(h *hollow) bool { return h.alive.Load() == all && h.applied.Load() > 0 }); err != nil {
+		h.aliveCount.Store(0)
+		h.appliedIndex.Store(0)
+		h.start()
+		if err := r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() == all && h.appliedIndex.Load() > 0 }); err != nil {
 			return e, err
 		}
-		e.HealMs += ms(time.Since(begun)) / restarts
-		r.settle()
+		e.HealedMs += ms(time.Since(begun)) / restartCount
+		r.expectAll()
 	}
 	return e, nil
 }
 
-// gone notes that gateways are not there: to suspect them is right.
-func (r *run) gone(gateways ...*hollow) {
-	there := map[string]bool{}
-	for name := range *r.there.Load() {
-		there[name] = true
+// expectGone removes gateways from the expected ones, so that a suspicion of them is not counted as wrong.
+func (r *run) expectGone(gateways ...*hollow) {
+	expected := map[string]bool{}
+	for name := range *r.expected.Load() {
+		expected[name] = true
 	}
 	for _, h := range gateways {
-		delete(there, h.name)
+		delete(expected, h.name)
 	}
-	r.there.Store(&there)
+	r.expected.Store(&expected)
 }
 
-// loseZone has all hollow gateways of a zone vanish, and come back with nothing in memory.
+// loseZone disconnects all hollow gateways of a zone at once, and starts them again with nothing in memory.
 func (r *run) loseZone() (e EventResult, err error) {
 	e.What = "a zone is lost, and returns"
 	var lost []*hollow
-	for i, h := range r.hollow {
+	for i, h := range r.hollowGateways {
 		if placeOf(i).zone == 1 {
 			lost = append(lost, h)
 		}
 	}
-	r.gone(lost...)
+	r.expectGone(lost...)
 	begun := time.Now()
 	for _, h := range lost {
-		r.network.kill(h.host, true)
+		r.network.setDead(h.host, true)
 	}
 	for _, h := range lost {
 		go h.stop()
 	}
-	left := int64(len(r.hollow) + realGateways - len(lost))
+	remaining := int64(len(r.hollowGateways) + realGateways - len(lost))
 	time.Sleep(time.Second)
-	if err := r.await(eventLimit, func(h *hollow) bool { return h.alive.Load() <= left }); err != nil {
+	if err := r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() <= remaining }); err != nil {
 		return e, err
 	}
-	e.Ms = ms(time.Since(begun))
+	e.NoticedMs = ms(time.Since(begun))
 	begun = time.Now()
 	for _, h := range lost {
-		r.network.kill(h.host, false)
-		h.alive.Store(0)
-		h.begin()
+		r.network.setDead(h.host, false)
+		h.aliveCount.Store(0)
+		h.start()
 	}
-	all := int64(len(r.hollow) + realGateways)
-	err = r.await(eventLimit, func(h *hollow) bool { return h.alive.Load() == all })
-	e.HealMs = ms(time.Since(begun))
-	r.settle()
+	all := int64(len(r.hollowGateways) + realGateways)
+	err = r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() == all })
+	e.HealedMs = ms(time.Since(begun))
+	r.expectAll()
 	return e, err
 }
 
-// cutRegion has the gateways of a region reach only each other for a while.
-func (r *run) cutRegion() (e EventResult, err error) {
-	e.What = "a region is cut off for " + r.o.CutFor.String() + ", and healed"
+// partitionRegion partitions the hollow gateways of a region from all others for Options.PartitionFor.
+func (r *run) partitionRegion() (e EventResult, err error) {
+	e.What = "a region is cut off for " + r.opts.PartitionFor.String() + ", and healed"
 	inside := map[*hollow]bool{}
 	var hosts []string
-	for i, h := range r.hollow {
+	for i, h := range r.hollowGateways {
 		if placeOf(i).region == Target.Regions-1 {
 			inside[h] = true
 			hosts = append(hosts, h.host)
 		}
 	}
-	r.there.Store(&map[string]bool{}) // each side is right to give the other up
+	r.expected.Store(&map[string]bool{}) // each side is right to suspect the other
 	begun := time.Now()
 	r.network.partition(hosts)
-	all := int64(len(r.hollow) + realGateways)
-	apart := func(h *hollow) bool { // those inside take longer: who hears nobody doubts itself first
-		return inside[h] || h.alive.Load() <= all-int64(len(hosts))
+	all := int64(len(r.hollowGateways) + realGateways)
+	separated := func(h *hollow) bool { // not awaited inside, where it takes longer: a gateway that receives nothing suspects itself first
+		return inside[h] || h.aliveCount.Load() <= all-int64(len(hosts))
 	}
-	err = r.await(eventLimit, apart)
-	e.Ms = ms(time.Since(begun))
+	err = r.await(eventTimeout, separated)
+	e.NoticedMs = ms(time.Since(begun))
 	if err != nil {
 		return e, err
 	}
-	time.Sleep(max(0, r.o.CutFor-time.Since(begun)))
+	time.Sleep(max(0, r.opts.PartitionFor-time.Since(begun)))
 	r.network.partition(nil)
 	begun = time.Now()
-	err = r.await(eventLimit, func(h *hollow) bool { return h.alive.Load() == all })
-	e.HealMs = ms(time.Since(begun))
-	r.settle()
+	err = r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() == all })
+	e.HealedMs = ms(time.Since(begun))
+	r.expectAll()
 	return e, err
 }
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -9,78 +9,79 @@
 	"quillrail/internal/fleet/change"
 )
 
-// measure brings the fleet to a size and measures it.
+// measure grows the fleet to a size and measures it.
 func (r *run) measure(size int) (f FleetResult, err error) {
 	f.Gateways = size
-	r.o.Log("%d gateways: starting", size)
-	own, at := usage(), time.Now()
+	r.opts.Log("%d gateways: starting", size)
+	before, measuredFrom := ownUsage(), time.Now()
 	defer func() {
-		if err != nil { // what it cost is told all the same
-			spent := usage().since(own).perSecond(time.Since(at))
-			f.CorePart, f.MemoryMB = spent.Core/float64(size), (spent.MemoryMB-r.idle.MemoryMB)/float64(size)
+		if err != nil { // the cost so far is reported nevertheless
+			spent := ownUsage().since(before).perSecond(time.Since(measuredFrom))
+			f.CorePart, f.MemoryMB = spent.CoreSeconds/float64(size), (spent.MemoryMB-r.baseline.MemoryMB)/float64(size)
 		}
 	}()
 	if err := r.grow(size); err != nil {
 		return f, err
 	}
 	begun := time.Now()
-	if err := r.await(joinLimit, func(h *hollow) bool { return h.alive.Load() == int64(size) }); err != nil {
+	if err := r.await(joinTimeout, func(h *hollow) bool { return h.aliveCount.Load() == int64(size) }); err != nil {
 		return f, err
 	}
 	f.JoinMs = ms(time.Since(begun))
-	if err := r.await(joinLimit, func(h *hollow) bool { return h.applied.Load() > 0 }); err != nil {
+	if err := r.await(joinTimeout, func(h *hollow) bool { return h.appliedIndex.Load() > 0 }); err != nil {
 		return f, err
 	}
-	r.o.Log("%d gateways: all know of all after %.1f s; measuring", size, f.JoinMs/1000)
-	time.Sleep(r.o.Settle)
+	r.opts.Log("%d gateways: each knows all others after %.1f s; measuring", size, f.JoinMs/1000)
+	time.Sleep(r.opts.Settle)
 	runtime.GC()
 	debug.FreeOSMemory()
-	wrong, lost, sent, got := r.wrong.Load(), r.lost(), r.bytes(0), r.bytes(1)
-	roles := r.roles()
-	own, at = usage(), time.Now()
-	var force [3][]float64
-	for range r.o.Changes {
-		next := time.Now().Add(r.o.Window / time.Duration(r.o.Changes))
-		t, err := r.change()
+	wrongBefore, lostBefore, sentBefore, gotBefore := r.wrongSuspicions.Load(), r.lostMessages(), r.transferred(0), r.transferred(1)
+	usageBefore := r.gatewayUsages()
+	before, measuredFrom = ownUsage(), time.Now()
+	var inForce [3][]float64
+	for range r.opts.Changes {
+		next := time.Now().Add(r.opts.Window / time.Duration(r.opts.Changes))
+		times, err := r.change()
 		if err != nil {
-			r.o.Log("%d gateways: %v", size, err)
-			f.Late++
+			r.opts.Log("%d gateways: %v", size, err)
+			f.LateChanges++
 			continue
 		}
-		for i := range t {
-			force[i] = append(force[i], t[i])
+		for i := range times {
+			inForce[i] = append(inForce[i], times[i])
 		}
-		if t[2] > ms(Target.InForce) {
-			f.Late++
+		if times[2] > ms(Target.InForce) {
+			f.LateChanges++
 		}
 		time.Sleep(time.Until(next))
 	}
-	passed := time.Since(at)
-	n := float64(len(r.hollow))
-	now := usage()
-	spent := now.since(own).perSecond(passed)
-	f.CorePart = max(0, spent.Core-r.idle.Core) / n
-	f.MemoryMB = (now.MemoryMB - r.idle.MemoryMB) / n
-	f.SentPerSec, f.GotPerSec = float64(r.bytes(0)-sent)/passed.Seconds()/n, float64(r.bytes(1)-got)/passed.Seconds()/n
-	f.Wrong, f.Lost = int(r.wrong.Load()-wrong), int(r.lost()-lost)
-	f.Voters = r.rolesSince(roles, passed)
-	for i := range force {
-		if len(force[i]) > 0 {
-			f.ForceMs[i] = median(force[i])
+	passed := time.Since(measuredFrom)
+	count := float64(len(r.hollowGateways))
+	now := ownUsage()
+	spent := now.since(before).perSecond(passed)
+	f.CorePart = max(0, spent.CoreSeconds-r.baseline.CoreSeconds) / count
+	f.MemoryMB = (now.MemoryMB - r.baseline.MemoryMB) / count
+	f.SentPerSec, f.ReceivedPerSec = float64(r.transferred(0)-sentBefore)/passed.Seconds()/count,
+		float64(r.transferred(1)-gotBefore)/passed.Seconds()/count
+	f.WrongSuspicions, f.MessagesLost = int(r.wrongSuspicions.Load()-wrongBefore), int(r.lostMessages()-lostBefore)
+	f.Voters = r.usageSince(usageBefore, passed)
+	for i := range inForce {
+		if len(inForce[i]) > 0 {
+			f.InForceMs[i] = median(inForce[i])
 		}
 	}
 	return f, nil
 }
 
-// change has a change of the fleet's settings agreed and returns the ms until it is in force at 50, 99 and 100 % of the
-// hollow gateways, of which each looks every 100 ms.
-func (r *run) change() (t [3]float64, err error) {
+// change proposes a change of the fleet's limits and returns the ms until it is in force at 50, 99 and 100 % of the running hollow
+// gateways. Each gateway publishes its applied index every 100 ms, which bounds the resolution.
+func (r *run) change() (times [3]float64, err error) {
 	r.changes++
 	limits := change.DefaultLimits
 	limits.Margin += float64(r.changes%7) / 1000
 	entry, failed := make(chan uint64, 1), make(chan error, 1)
 	begun := time.Now()
-	r.hollow[r.changes%len(r.hollow)].propose(limits, func(index uint64, err error) {
+	r.hollowGateways[r.changes%len(r.hollowGateways)].propose(limits, func(index uint64, err error) {
 		if err != nil {
 			failed <- err
 		} else {
@@ -91,44 +92,46 @@
 	select {
 	case index = <-entry:
 	case err := <-failed:
-		return t, err
-	case <-time.After(forceLimit):
-		return t, errLate
+		return times, err
+	case <-time.After(inForceTimeout):
+		return times, errTimeout
 	}
-	for step, part := range []float64{0.5, 0.99, 1} {
+	for i, share := range []float64{0.5, 0.99, 1} {
 		for {
-			have, all := 0, 0
-			for _, h := range r.hollow {
+			inForce, running := 0, 0
+			for _, h := range r.hollowGateways {
 				if h.running.Load() {
-					all++
-					if h.applied.Load() >= index {
-						have++
+					running++
+					if h.appliedIndex.Load() >= index {
+						inForce++
 					}
 				}
 			}
-			if float64(have) >= part*float64(all) {
+			if float64(inForce) >= share*float64(running) {
 				break
 			}
-			if time.Since(begun) > forceLimit {
-				return t, fmt.Errorf("%w: a change is in force at %d of %d", errLate, have, all)
+			if time.Since(begun) > inForceTimeout {
+				return times, fmt.Errorf("%w: a change is in force at %d of %d gateways", errTimeout, inForce, running)
 			}
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
-		t[step] = ms(time.Since(begun))
+		times[i] = ms(time.Since(begun))
 	}
-	return t, nil
+	return times, nil
 }
 
-func (r *run) lost() (n int64) {
-	for _, h := range r.hollow {
-		n += h.lost.Load()
+// lostMessages returns how many messages the hollow gateways have dropped.
+func (r *run) lostMessages() (n int64) {
+	for _, h := range r.hollowGateways {
+		n += h.droppedMessages.Load()
 	}
 	return n
 }
 
-func (r *run) bytes(way int) (n int64) {
-	for _, h := range r.hollow {
-		n += h.bytes[way].Load()
+// transferred returns how many bytes the hollow gateways have sent (direction 0) or received (1).
+func (r *run) transferred(direction int) (n int64) {
+	for _, h := range r.hollowGateways {
+		n += h.bytes[direction].Load()
 	}
 	return n
 }
--- a/internal/lab/scale/network.go
+++ b/internal/lab/scale/network.go
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// Delays between gateways, one way. They are those of machines in one zone, in one region, and of neighbouring regions on a
-// line; each region further adds as much.
+// One-way delays between gateways in one zone, in one region, and in different regions. Regions lie on a line, and each step along it
+// adds perRegionDelay.
 const (
-	zoneDelay   = 200 * time.Microsecond
-	regionDelay = time.Millisecond
-	farDelay    = 10 * time.Millisecond
-	waitingSize = 256 // writes of a connection that are on their way
+	zoneDelay        = 200 * time.Microsecond
+	regionDelay      = time.Millisecond
+	perRegionDelay   = 10 * time.Millisecond
+	maxPendingWrites = 256 // delayed writes of a connection; further ones block
 )
 
-// place is where a gateway is.
+// place is the region and zone of a gateway.
 type place struct{ region, zone int }
 
-// placeOf spreads gateways over the target's zones, and these over its regions.
+// placeOf spreads gateways round robin over the target's zones, and these over its regions.
 func placeOf(gateway int) place {
 	zone := gateway % Target.Zones
 	return place{zone % Target.Regions, zone}
 }
 
-func (p place) delay(o place) time.Duration {
+// delay returns the one-way delay to another place.
+func (p place) delay(other place) time.Duration {
 	switch {
-	case p.zone == o.zone:
+	case p.zone == other.zone:
 		return zoneDelay
-	case p.region == o.region:
+	case p.region == other.region:
 		return regionDelay
 	}
-	return farDelay * time.Duration(max(p.region-o.region, o.region-p.region))
+	return perRegionDelay * time.Duration(max(p.region-other.region, other.region-p.region))
 }
 
-// network is what lies between all gateways: delays, and partitions.
+// network simulates delays and partitions between all gateways.
 type network struct {
-	mu     sync.RWMutex
-	places map[string]place // by host
-	cut    map[string]bool  // hosts that only reach each other
-	dead   map[string]bool  // hosts that reach nobody
+	mu          sync.RWMutex
+	places      map[string]place // by host
+	partitioned map[string]bool  // hosts that reach only each other
+	dead        map[string]bool  // hosts that reach nobody
 }
 
 func newNetwork() *network {
-	return &network{places: map[string]place{}, cut: map[string]bool{}, dead: map[string]bool{}}
+	return &network{places: map[string]place{}, partitioned: map[string]bool{}, dead: map[string]bool{}}
 }
 
 func (n *network) add(host string, at place) {
@@ -53,18 +54,18 @@
 	n.mu.Unlock()
 }
 
-// partition has hosts reach only each other; none ends it.
+// partition separates hosts, which still reach each other, from all others. A call without hosts ends the partition.
 func (n *network) partition(hosts []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cut)
+	clear(n.partitioned)
 	for _, h := range hosts {
-		n.cut[h] = true
+		n.partitioned[h] = true
 	}
 }
 
-// kill has a host reach nobody, until it is revived.
-func (n *network) kill(host string, dead bool) {
+// setDead sets whether a host is cut off from all others.
+func (n *network) setDead(host string, dead bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if delete(n.dead, host); dead {
@@ -72,45 +73,45 @@
 	}
 }
 
-// between is the delay from one host to another, and whether anything arrives.
-func (n *network) between(from, to string) (time.Duration, bool) {
+// path returns the delay from one host to another, and whether messages arrive.
+func (n *network) path(from, to string) (time.Duration, bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.places[from].delay(n.places[to]), n.cut[from] == n.cut[to] && !n.dead[from] && !n.dead[to]
+	return n.places[from].delay(n.places[to]), n.partitioned[from] == n.partitioned[to] && !n.dead[from] && !n.dead[to]
 }
 
-// view is the network as one gateway has it: a member.Network.
-type view struct {
-	n    *network
-	host string
+// hostView implements member.Network for one gateway.
+type hostView struct {
+	network *network
+	host    string
 }
 
-var errCut = errors.New("scale: the network is partitioned")
+var errPartitioned = errors.New("scale: the network is partitioned")
 
-// Datagram delivers late, or not.
-func (v *view) Datagram(to string, send func()) {
-	if d, reached := v.n.between(v.host, hostOf(to)); reached {
+// Datagram calls send after the delay, or not at all if the target is unreachable.
+func (v *hostView) Datagram(to string, send func()) {
+	if d, reached := v.network.path(v.host, hostOf(to)); reached {
 		time.AfterFunc(d, send)
 	}
 }
 
-// Dial takes a round trip, and returns a connection that delivers late.
-func (v *view) Dial(to string, dial func() (net.Conn, error)) (net.Conn, error) {
-	d, reached := v.n.between(v.host, hostOf(to))
+// Dial takes one round trip and returns a connection with delayed writes.
+func (v *hostView) Dial(to string, dial func() (net.Conn, error)) (net.Conn, error) {
+	d, reached := v.network.path(v.host, hostOf(to))
 	time.Sleep(2 * d)
 	if !reached {
-		return nil, errCut
+		return nil, errPartitioned
 	}
 	c, err := dial()
 	if err != nil {
 		return nil, err
 	}
-	return newDelayed(c, d, func() bool { _, reached := v.n.between(v.host, hostOf(to)); return reached }), nil
+	return newDelayedConn(c, d, func() bool { _, reached := v.network.path(v.host, hostOf(to)); return reached }), nil
 }
 
-// Receives reports whether the network lets anything through.
-func (v *view) Receives(from string) bool {
-	_, reached := v.n.between(from, v.host)
+// Receives reports whether messages from a host arrive.
+func (v *hostView) Receives(from string) bool {
+	_, reached := v.network.path(from, v.host)
 	return reached
 }
 
@@ -122,60 +123,63 @@
 	return host
 }
 
-// delayed is a connection whose writes arrive late and in order. What it answers comes late by the same way, since both ends
-// are read by who waits for them.
-type delayed struct {
+// delayedConn is the dialing end of a connection, whose writes arrive after the delay, in order. Answers are not delayed themselves,
+// but they are late since the requests before them are.
+type delayedConn struct {
 	net.Conn
-	delay   time.Duration
-	reaches func() bool
-	out     chan write
-	once    sync.Once
-	over    chan struct{}
+	delay     time.Duration
+	reachable func() bool
+	pending   chan pendingWrite
+	once      sync.Once
+	closed    chan struct{}
 }
 
-type write struct {
+// pendingWrite is a write that is delivered at a later time.
+type pendingWrite struct {
 	at   time.Time
 	data []byte
 }
 
-func newDelayed(c net.Conn, d time.Duration, reaches func() bool) *delayed {
-	w := &delayed{Conn: c, delay: d, reaches: reaches, out: make(chan write, waitingSize), over: make(chan struct{})}
-	go w.deliver()
-	return w
+func newDelayedConn(c net.Conn, delay time.Duration, reachable func() bool) *delayedConn {
+	conn := &delayedConn{Conn: c, delay: delay, reachable: reachable, pending: make(chan pendingWrite, maxPendingWrites),
+		closed: make(chan struct{})}
+	go conn.deliver()
+	return conn
 }
 
-// Write puts bytes on their way.
-func (d *delayed) Write(b []byte) (int, error) {
+// Write queues a copy of the bytes for delivery after the delay.
+func (d *delayedConn) Write(b []byte) (int, error) {
 	select {
-	case d.out <- write{time.Now().Add(d.delay), append([]byte(nil), b...)}:
+	case d.pending <- pendingWrite{time.Now().Add(d.delay), append([]byte(nil), b...)}:
 		return len(b), nil
-	case <-d.over:
+	case <-d.closed:
 		return 0, net.ErrClosed
 	}
 }
 
-func (d *delayed) deliver() {
+// deliver delivers the pending writes until the connection is closed or the other end is unreachable.
+func (d *delayedConn) deliver() {
 	defer d.Conn.Close()
 	for {
 		select {
-		case w := <-d.out:
+		case w := <-d.pending:
 			time.Sleep(time.Until(w.at))
-			if !d.reaches() {
+			if !d.reachable() {
 				return
 			}
 			if _, err := d.Conn.Write(w.data); err != nil {
 				return
 			}
-		case <-d.over:
+		case <-d.closed:
 			return
 		}
 	}
 }
 
-// Close ends the connection once what was written before is on its way.
-func (d *delayed) Close() error {
+// Close closes the connection after the delay, when the writes before it have been delivered.
+func (d *delayedConn) Close() error {
 	d.once.Do(func() {
-		time.AfterFunc(d.delay, func() { close(d.over) })
+		time.AfterFunc(d.delay, func() { close(d.closed) })
 	})
 	return nil
 }
--- a/internal/lab/scale/routing.go
+++ b/internal/lab/scale/routing.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	callTook      = 40 * time.Millisecond // of a call at a worker
-	rareFunctions = 100                   // that are called once, then once more, then after a change
-	functionsPer  = 300                   // whose memory is measured
-	callLimit     = 10 * time.Second      // for the calls of one router
-	timerTurns    = 100
-	changeTurns   = 20
-	sweep         = 10 * time.Millisecond // the router's timer
+	callTime         = 40 * time.Millisecond // of a call at a worker
+	sampledFunctions = 100                   // called once, once more, and (some of them) after a change of the list
+	memoryFunctions  = 300                   // called to measure the memory of a function
+	callTimeLimit    = 10 * time.Second      // for all calls with the target's skew
+	timerSamples     = 100
+	changeSamples    = 20
+	sweepInterval    = 10 * time.Millisecond // of the router's timer
 )
 
-// Workers is a list of so many workers, spread over the target's zones.
-func Workers(n int) []decide.Host {
+// WorkerList returns a list of n workers, spread over the target's zones.
+func WorkerList(n int) []decide.Host {
 	hosts := make([]decide.Host, n)
 	for i := range hosts {
 		hosts[i] = decide.Host{Name: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Zone: i % Target.Zones, Cell: i / 40}
@@ -30,181 +30,187 @@
 	return hosts
 }
 
-// Site is the target's settings as a router has them.
-func Site() decide.Settings {
+// TargetSettings returns a router's settings for the target.
+func TargetSettings() decide.Settings {
 	class := func(aim, deadline time.Duration, worth float64, effect decide.Effect) decide.Class {
 		return decide.Class{Aim: aim, Deadline: deadline, Worth: worth, Effect: effect, KeyScope: decide.SameZone, Window: 8 * time.Second}
 	}
-	return decide.Settings{Classes: []decide.Class{class(time.Second, 4*time.Second, 1, decide.Safe), class(2*time.Second, 6*time.Second, 3, decide.Keyed)},
+	return decide.Settings{Classes: []decide.Class{class(time.Second, 4*time.Second, 1, decide.Safe),
+		class(2*time.Second, 6*time.Second, 3, decide.Keyed)},
 		Tenants: []decide.Tenant{{Share: 0.5}, {Share: 0.5}}, Gateways: Target.Gateways, Subscribe: true, MaxAttempts: 3, Parallel: true,
-		Cancelling: true, ColdFrom: 0.18, ColdFor: 14 * time.Second, CollapseMultiple: 2.5, CollapseAfter: 3 * time.Second, KeepAlive: 10 * time.Second,
-		Orders: true, LoadsOnMiss: true, MarksCold: true, FreeOrders: 2, OrderShare: 0.3, OrderWindow: 10 * time.Second,
-		OrderTimeout: 10 * time.Second}
+		Cancelling: true, ColdFrom: 0.18, ColdFor: 14 * time.Second, CollapseMultiple: 2.5, CollapseAfter: 3 * time.Second,
+		KeepAlive: 10 * time.Second, Orders: true, LoadsOnMiss: true, MarksCold: true, FreeOrders: 2, OrderShare: 0.3,
+		OrderWindow: 10 * time.Second, OrderTimeout: 10 * time.Second}
 }
 
-// Player plays the gateway of a router: what is routed is answered after a while, as a copy that stands would.
-type Player struct {
-	unasked
-	Router *decide.Router
-	Now    time.Duration
-	Sent   []string // where calls went, while it is kept
-	Keep   bool
+// RouterDriver takes the place of the gateway around a router, with a simulated clock. It answers each routed call after callTime,
+// as a loaded copy does.
+type RouterDriver struct {
+	ignoredActions
+	Router     *decide.Router
+	Now        time.Duration
+	Sent       []string // workers to which calls were routed while RecordSent was true
+	RecordSent bool
 
-	shots map[uint64]int
-	due   []answer // in order of their times
-	next  uint64
+	attempts       map[uint64]int // attempts so far of each call in flight, by its ID
+	pendingAnswers []answer       // ordered by dueAt
+	lastID         uint64         // of a call
 }
 
+// answer is a worker's answer that the router gets at dueAt.
 type answer struct {
-	at   time.Duration
-	id   uint64
-	shot int
-	host string
+	dueAt   time.Duration
+	id      uint64
+	attempt int
+	host    string
 }
 
-// NewPlayer returns a router that knows of no worker yet.
-func NewPlayer(set decide.Settings, seed uint64) (*Player, error) {
-	p := &Player{Now: time.Hour, shots: map[uint64]int{}}
+// NewRouterDriver returns a driver with a new router that knows no workers.
+func NewRouterDriver(settings decide.Settings, seed uint64) (*RouterDriver, error) {
+	d := &RouterDriver{Now: time.Hour, attempts: map[uint64]int{}}
 	var err error
-	p.Router, err = decide.New(set, seed, p)
-	return p, err
+	d.Router, err = decide.New(settings, seed, d)
+	return d, err
 }
 
-// Route has the call answered after callTook.
-func (p *Player) Route(id uint64, host string, _ time.Duration) {
-	p.due = append(p.due, answer{p.Now + callTook, id, p.shots[id], host})
-	p.shots[id]++
-	if p.Keep {
-		p.Sent = append(p.Sent, host)
+// Route schedules the answer to a call after callTime.
+func (d *RouterDriver) Route(id uint64, host string, _ time.Duration) {
+	d.pendingAnswers = append(d.pendingAnswers, answer{d.Now + callTime, id, d.attempts[id], host})
+	d.attempts[id]++
+	if d.RecordSent {
+		d.Sent = append(d.Sent, host)
 	}
 }
 
 // Retract does nothing: each call is answered.
-func (p *Player) Retract(uint64, int) {}
+func (d *RouterDriver) Retract(uint64, int) {}
 
 // Refuse forgets the call.
-func (p *Player) Refuse(id uint64, _ time.Duration, _ decide.Reason) { delete(p.shots, id) }
+func (d *RouterDriver) Refuse(id uint64, _ time.Duration, _ decide.Reason) { delete(d.attempts, id) }
 
 // Fail forgets the call.
-func (p *Player) Fail(id uint64, _ decide.Reason) { delete(p.shots, id) }
-
-// unasked is what a router asks for besides, and gets nothing of here.
-type unasked struct{}
-
-func (unasked) Order(string, string, int)    {}
-func (unasked) Unload(string, string)        {}
-func (unasked) Probe(string)                 {}
-func (unasked) SendPeer(int, []byte)         {}
-func (unasked) Watch(bool)                   {}
-func (unasked) Lookup()                      {}
-func (unasked) Release(string)               {}
-func (unasked) WakeAt(time.Duration, string) {}
-func (unasked) Log(decide.Notice)            {}
-
-// Call has a function called and returns what it took.
-func (p *Player) Call(function string) time.Duration {
-	p.next++
-	return p.handle(decide.Arrival{ID: p.next, Class: int(p.next % 2), Tenant: int(p.next / 2 % 2), Function: function, TTL: 4 * time.Second,
-		Lanes: 1, Work: callTook})
-}
-
-func (p *Player) handle(ev decide.Event) time.Duration {
+func (d *RouterDriver) Fail(id uint64, _ decide.Reason) { delete(d.attempts, id) }
+
+// ignoredActions implements the router's other actions, which have no effect here.
+type ignoredActions struct{}
+
+func (ignoredActions) Order(string, string, int)    {}
+func (ignoredActions) Unload(string, string)        {}
+func (ignoredActions) Probe(string)                 {}
+func (ignoredActions) SendPeer(int, []byte)         {}
+func (ignoredActions) Watch(bool)                   {}
+func (ignoredActions) Lookup()                      {}
+func (ignoredActions) Release(string)               {}
+func (ignoredActions) WakeAt(time.Duration, string) {}
+func (ignoredActions) Log(decide.Notice)            {}
+
+// Call gives the router a call of a function and returns the time that this took.
+func (d *RouterDriver) Call(function string) time.Duration {
+	d.lastID++
+	return d.handle(decide.Arrival{ID: d.lastID, Class: int(d.lastID % 2), Tenant: int(d.lastID / 2 % 2), Function: function,
+		TTL: 4 * time.Second, Lanes: 1, Work: callTime})
+}
+
+// handle gives the router an event and returns the time that it took.
+func (d *RouterDriver) handle(ev decide.Event) time.Duration {
 	begun := time.Now()
-	p.Router.Handle(p.Now, ev)
+	d.Router.Handle(d.Now, ev)
 	return time.Since(begun)
 }
 
-// List tells of workers and returns what it took.
-func (p *Player) List(whole bool, hosts []decide.Host) time.Duration {
-	return p.handle(decide.List{Whole: whole, Hosts: hosts})
+// UpdateList gives the router a whole worker list or a change of it, and returns the time that it took.
+func (d *RouterDriver) UpdateList(whole bool, hosts []decide.Host) time.Duration {
+	return d.handle(decide.List{Whole: whole, Hosts: hosts})
 }
 
-// Pass has time pass, with answers as they come due and the timer, and returns what it took.
-func (p *Player) Pass(d time.Duration) (took time.Duration) {
-	for end := p.Now + d; p.Now < end; {
-		p.Now = min(end, (p.Now/sweep+1)*sweep)
-		for len(p.due) > 0 && p.due[0].at <= p.Now {
-			a := p.due[0]
-			p.due = p.due[1:]
-			delete(p.shots, a.id)
-			took += p.handle(decide.Result{ID: a.id, Attempt: a.shot, Host: a.host, Outcome: decide.Good, Took: callTook, Final: true, Note: decide.FoundWarm, Contention: -1})
+// Advance advances the clock, with the answers that come due and the router's timer, and returns the time that the router took.
+func (d *RouterDriver) Advance(duration time.Duration) (took time.Duration) {
+	for end := d.Now + duration; d.Now < end; {
+		d.Now = min(end, (d.Now/sweepInterval+1)*sweepInterval)
+		for len(d.pendingAnswers) > 0 && d.pendingAnswers[0].dueAt <= d.Now {
+			next := d.pendingAnswers[0]
+			d.pendingAnswers = d.pendingAnswers[1:]
+			delete(d.attempts, next.id)
+			took += d.handle(decide.Result{ID: next.id, Attempt: next.attempt, Host: next.host, Outcome: decide.Good, Took: callTime,
+				Final: true, Note: decide.FoundWarm, Contention: -1})
 		}
-		took += p.handle(decide.Wake{Token: "sweep"})
+		took += d.handle(decide.Wake{Token: "sweep"})
 	}
 	return took
 }
 
-// Skew draws functions as the target has them: most are called less than once a minute by the whole fleet.
-type Skew struct {
-	rng *rand.Rand
-	sum []float64
+// FunctionSkew draws functions with the target's skew: the whole fleet calls most of them less than once a minute.
+type FunctionSkew struct {
+	rng        *rand.Rand
+	cumulative []float64
 }
 
-// NewSkew returns a skew over so many functions, by Zipf's law with an exponent of 1.3.
-func NewSkew(functions int, seed uint64) *Skew {
-	s := &Skew{rng: rand.New(rand.NewPCG(seed, 7)), sum: make([]float64, functions)}
+// NewFunctionSkew returns a skew over a number of functions, by Zipf's law with an exponent of 1.3.
+func NewFunctionSkew(functions int, seed uint64) *FunctionSkew {
+	s := &FunctionSkew{rng: rand.New(rand.NewPCG(seed, 7)), cumulative: make([]float64, functions)}
 	total := 0.0
-	for i := range s.sum {
+	for i := range s.cumulative {
 		total += math.Pow(float64(i+1), -1.3)
-		s.sum[i] = total
+		s.cumulative[i] = total
 	}
 	return s
 }
 
-// Draw returns a function.
-func (s *Skew) Draw() string {
-	i, _ := slices.BinarySearch(s.sum, s.rng.Float64()*s.sum[len(s.sum)-1])
-	return fmt.Sprintf("%016x", min(i, len(s.sum)-1))
+// Draw returns the name of a random function.
+func (s *FunctionSkew) Draw() string {
+	i, _ := slices.BinarySearch(s.cumulative, s.rng.Float64()*s.cumulative[len(s.cumulative)-1])
+	return fmt.Sprintf("%016x", min(i, len(s.cumulative)-1))
 }
 
-// MeasureRouter measures one router that is told of so many workers and asked for so many functions.
+// MeasureRouter measures one router with a list of workers and calls of a number of functions. calls is the number of calls with the
+// target's skew.
 func MeasureRouter(workers, functions, calls int, seed uint64) (RouterResult, error) {
 	out := RouterResult{Workers: workers, Functions: functions}
-	hosts := Workers(workers)
-	before := heap()
-	p, err := NewPlayer(Site(), seed)
+	hosts := WorkerList(workers)
+	before := heapInUse()
+	d, err := NewRouterDriver(TargetSettings(), seed)
 	if err != nil {
 		return out, err
 	}
-	out.ListUs = us(p.List(true, hosts))
-	out.ListBytes = heap() - before
+	out.ListUs = us(d.UpdateList(true, hosts))
+	out.ListBytes = heapInUse() - before
 	var first, next, after, change, timer []float64
-	for i := range rareFunctions {
+	for i := range sampledFunctions {
 		fn := fmt.Sprintf("r%015x", i)
-		first = append(first, us(p.Call(fn)))
-		p.Pass(2 * callTook)
-		next = append(next, us(p.Call(fn)))
-		p.Pass(2 * callTook)
+		first = append(first, us(d.Call(fn)))
+		d.Advance(2 * callTime)
+		next = append(next, us(d.Call(fn)))
+		d.Advance(2 * callTime)
 	}
-	for i := range changeTurns {
-		h := hosts[i*workers/changeTurns]
+	for i := range changeSamples {
+		h := hosts[i*workers/changeSamples]
 		h.State = decide.Gone
-		change = append(change, us(p.List(false, []decide.Host{h})))
-		after = append(after, us(p.Call(fmt.Sprintf("r%015x", i))))
+		change = append(change, us(d.UpdateList(false, []decide.Host{h})))
+		after = append(after, us(d.Call(fmt.Sprintf("r%015x", i))))
 		h.State = decide.Ready
-		change = append(change, us(p.List(false, []decide.Host{h})))
-		after = append(after, us(p.Call(fmt.Sprintf("r%015x", i))))
-		p.Pass(2 * callTook)
+		change = append(change, us(d.UpdateList(false, []decide.Host{h})))
+		after = append(after, us(d.Call(fmt.Sprintf("r%015x", i))))
+		d.Advance(2 * callTime)
 	}
-	before = heap()
-	for i := range min(functions, functionsPer) {
-		p.Call(fmt.Sprintf("m%015x", i))
-		p.Pass(sweep)
+	before = heapInUse()
+	for i := range min(functions, memoryFunctions) {
+		d.Call(fmt.Sprintf("m%015x", i))
+		d.Advance(sweepInterval)
 	}
-	out.FunctionBytes = (max(heap(), before) - before) / uint64(min(functions, functionsPer))
-	skew, spent, pace := NewSkew(functions, seed), time.Duration(0), time.Duration(float64(time.Second)/CallsEach())
-	made := 0
-	for ; made < calls && spent < callLimit; made++ {
-		spent += p.Call(skew.Draw()) + p.Pass(pace)
+	out.FunctionBytes = (max(heapInUse(), before) - before) / uint64(min(functions, memoryFunctions))
+	skew, spent, interval := NewFunctionSkew(functions, seed), time.Duration(0), time.Duration(float64(time.Second)/CallsPerGateway())
+	called := 0
+	for ; called < calls && spent < callTimeLimit; called++ {
+		spent += d.Call(skew.Draw()) + d.Advance(interval)
 	}
-	for range timerTurns {
-		p.Now += sweep
-		timer = append(timer, us(p.handle(decide.Wake{Token: "sweep"})))
+	for range timerSamples {
+		d.Now += sweepInterval
+		timer = append(timer, us(d.handle(decide.Wake{Token: "sweep"})))
 	}
 	out.FirstUs, out.NextUs, out.AfterUs, out.ChangeUs, out.TimerUs = median(first), median(next), median(after), median(change), median(timer)
-	out.CallUs = us(spent) / float64(made)
-	out.CorePart = CallsEach()*out.CallUs/1e6 + 2*Target.ReplacedPerDay/86_400*out.ChangeUs/1e6
-	runtime.KeepAlive(p)
+	out.CallUs = us(spent) / float64(called)
+	out.CorePart = CallsPerGateway()*out.CallUs/1e6 + 2*Target.ReplacedPerDay/86_400*out.ChangeUs/1e6
+	runtime.KeepAlive(d)
 	return out, nil
 }
 
@@ -215,8 +221,8 @@
 	return x[len(x)/2]
 }
 
-// heap is how many bytes of the heap are in use.
-func heap() uint64 {
+// heapInUse returns the number of bytes of live heap, after garbage collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -14,67 +14,67 @@
 )
 
 const (
-	realGateways = 3
-	seedsEach    = 3  // hollow gateways that are asked first, besides the real ones
-	batch        = 25 // hollow gateways that are started at once
-	joinLimit    = 90 * time.Second
-	forceLimit   = 15 * time.Second
-	busyPart     = 0.5     // of the machine's cores that a fleet may take in quiet, to be started
-	gcPercent    = 200     // of garbage beside what is in use: many gateways in a process would collect most of the time
-	memoryLimit  = 9 << 30 // bytes; then it is collected sooner
-	pollEvery    = 5 * time.Millisecond
-	idleWindow   = 3 * time.Second // for what the process costs without hollow gateways
-	realRate     = 60              // calls a second of the real gateways together
+	realGateways   = 3
+	hollowSeeds    = 3  // hollow gateways that are seeds, besides the real ones
+	startBatch     = 25 // hollow gateways that are started together
+	joinTimeout    = 90 * time.Second
+	inForceTimeout = 15 * time.Second
+	maxCoreShare   = 0.5     // a fleet is not started if, when idle, it would take more than this part of the machine's cores
+	gcPercent      = 200     // with less, a process with many gateways would spend most of its time in garbage collection
+	memoryLimit    = 9 << 30 // bytes, from which garbage is collected more often
+	pollInterval   = 5 * time.Millisecond
+	idleWindow     = 3 * time.Second // over which the process's usage without hollow gateways is measured
+	realRate       = 60              // calls per second of the real gateways together
 )
 
-// run is a fleet that grows from size to size.
+// run is a fleet that grows from one size to the next, and what is measured of it.
 type run struct {
-	o       Options
-	out     *Result
-	lab     *lab.Lab
-	network *network
-	port    string
-	seeds   []string
-	voters  []string
-	hollow  []*hollow
-	wrong   atomic.Int64
-	there   atomic.Pointer[map[string]bool] // names of the gateways that run and are reached
-	idle    Usage                           // of the process without them, for a second
-	changes int
+	opts            Options
+	result          *Result
+	lab             *lab.Lab
+	network         *network
+	port            string   // at which gateways reach each other
+	seeds           []string // addresses of gateways that new ones contact
+	voters          []string // names of the real gateways
+	hollowGateways  []*hollow
+	wrongSuspicions atomic.Int64
+	expected        atomic.Pointer[map[string]bool] // names of the gateways that should be alive for all others
+	baseline        Usage                           // of this process without hollow gateways, per second
+	changes         int                             // proposed so far
 }
 
-// Run measures routers and fleets, one size after the other, and says on o.Log how far it is.
-func Run(o Options) (*Result, error) {
-	out := &Result{Machine: fmt.Sprintf("%d cores, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())}
-	for _, workers := range o.Workers {
-		functions := o.Functions[len(o.Functions)-1]
-		o.Log("a router that is told of %d workers and asked for %d functions", workers, functions)
-		r, err := MeasureRouter(workers, functions, o.Calls, o.Seed)
+// Run measures routers and fleets, one size after the other, and reports its progress to opts.Log.
+func Run(opts Options) (*Result, error) {
+	result := &Result{Machine: fmt.Sprintf("%d cores, %s/%s, %s", runtime.NumCPU(), runtime.GOOS, runtime.GOARCH, runtime.Version())}
+	for _, workers := range opts.Workers {
+		functions := opts.Functions[len(opts.Functions)-1]
+		opts.Log("measuring a router with %d workers and %d functions", workers, functions)
+		r, err := MeasureRouter(workers, functions, opts.Calls, opts.Seed)
 		if err != nil {
-			return out, err
+			return result, err
 		}
-		out.Routers = append(out.Routers, r)
+		result.Routers = append(result.Routers, r)
 	}
-	for _, functions := range o.Functions[:len(o.Functions)-1] {
-		workers := o.Workers[min(1, len(o.Workers)-1)]
-		o.Log("a router that is told of %d workers and asked for %d functions", workers, functions)
-		r, err := MeasureRouter(workers, functions, o.Calls, o.Seed)
+	for _, functions := range opts.Functions[:len(opts.Functions)-1] {
+		workers := opts.Workers[min(1, len(opts.Workers)-1)]
+		opts.Log("measuring a router with %d workers and %d functions", workers, functions)
+		r, err := MeasureRouter(workers, functions, opts.Calls, opts.Seed)
 		if err != nil {
-			return out, err
+			return result, err
 		}
-		out.Routers = append(out.Routers, r)
+		result.Routers = append(result.Routers, r)
 	}
 	debug.FreeOSMemory()
-	if len(o.Gateways) == 0 {
-		return out, nil
+	if len(opts.Gateways) == 0 {
+		return result, nil
 	}
-	return out, fleets(o, out)
+	return result, measureFleets(opts, result)
 }
 
-// fleets measures all sizes of the fleet, and the events at the last.
-func fleets(o Options, out *Result) (err error) {
-	l, err := lab.New(lab.Options{Program: o.Program, Dir: o.Dir, Seed: o.Seed, Gateways: realGateways, Workers: Target.Regions, Halls: Target.Regions,
-		Fleet: true, Voters: realGateways, Env: o.Env})
+// measureFleets measures all sizes of the fleet, and the events at the last size.
+func measureFleets(opts Options, result *Result) (err error) {
+	l, err := lab.New(lab.Options{Program: opts.Program, Dir: opts.Dir, Seed: opts.Seed, Gateways: realGateways,
+		Workers: Target.Regions, Halls: Target.Regions, Fleet: true, Voters: realGateways, Env: opts.Env})
 	if err != nil {
 		return err
 	}
@@ -82,108 +82,112 @@
 	if err := l.StartAll(); err != nil {
 		return err
 	}
-	r := &run{o: o, out: out, lab: l, network: newNetwork()}
+	r := &run{opts: opts, result: result, lab: l, network: newNetwork()}
 	for i, g := range l.Gateways {
-		r.voters, r.seeds = append(r.voters, g.Name), append(r.seeds, g.Peer())
-		host, port, err := net.SplitHostPort(g.Peer())
+		r.voters, r.seeds = append(r.voters, g.Name), append(r.seeds, g.PeerAddr())
+		host, port, err := net.SplitHostPort(g.PeerAddr())
 		if err != nil {
 			return err
 		}
 		r.port = port
 		r.network.add(host, placeOf(i))
 	}
-	for n := range seedsEach {
+	for n := range hollowSeeds {
 		r.seeds = append(r.seeds, net.JoinHostPort(hostName(n), r.port))
 	}
 	traffic := l.Start(lab.Load{Rate: realRate, Functions: 20, Wait: 2 * time.Second, Tries: 2})
 	defer traffic.End()
-	before := usage()
+	before := ownUsage()
 	time.Sleep(idleWindow)
-	r.idle = usage().since(before).perSecond(idleWindow)
+	r.baseline = ownUsage().since(before).perSecond(idleWindow)
 	defer r.stopAll()
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(memoryLimit)
-	for i, size := range o.Gateways {
+	for i, size := range opts.Gateways {
 		f, err := r.measure(size)
-		out.Fleets = append(out.Fleets, f)
+		result.Fleets = append(result.Fleets, f)
 		if f.CorePart*float64(size) > 0.8*float64(runtime.NumCPU()) {
-			out.Limits = append(out.Limits, fmt.Sprintf("%d gateways: the machine's processors were busy, so times and suspicions are the machine's", size))
+			result.Limits = append(result.Limits, fmt.Sprintf("%d gateways: the machine's processors were busy, "+
+				"so the machine and not the program determines times and suspicions", size))
 		}
-		if err != nil { // a larger one would not be measured either
-			out.Limits = append(out.Limits, fmt.Sprintf("%d gateways: %v; larger fleets and events were not played", size, err))
+		if err != nil { // a larger fleet would fail too
+			result.Limits = append(result.Limits, fmt.Sprintf("%d gateways: %v; larger fleets and the events were not measured", size, err))
 			return nil
 		}
-		if i+1 < len(o.Gateways) {
-			if next := o.Gateways[i+1]; f.CorePart*float64(next) > busyPart*float64(runtime.NumCPU()) {
-				out.Limits = append(out.Limits, fmt.Sprintf("%d gateways were not started: they would take %.1f cores in quiet, of %d, and several times as much while "+
+		if i+1 < len(opts.Gateways) {
+			if next := opts.Gateways[i+1]; f.CorePart*float64(next) > maxCoreShare*float64(runtime.NumCPU()) {
+				result.Limits = append(result.Limits, fmt.Sprintf("%d gateways were not started: when idle they would take %.1f of %d cores, "+
+					"and several times as much while "+
 					"they find each other", next, f.CorePart*float64(next), runtime.NumCPU()))
 				break
 			}
 		}
 	}
-	if err := r.events(); err != nil {
-		out.Limits = append(out.Limits, fmt.Sprintf("the events: %v", err))
+	if err := r.measureEvents(); err != nil {
+		result.Limits = append(result.Limits, fmt.Sprintf("the events: %v", err))
 	}
 	return nil
 }
 
-// stopAll ends all hollow gateways at once; the network is cut, so that nobody tells anybody.
+// stopAll stops all hollow gateways at once. The network is cut first, so that they don't notify each other.
 func (r *run) stopAll() {
 	var all sync.WaitGroup
-	for _, h := range r.hollow {
-		r.network.kill(h.host, true)
+	for _, h := range r.hollowGateways {
+		r.network.setDead(h.host, true)
 		all.Go(h.stop)
 	}
 	all.Wait()
 }
 
-// grow starts hollow gateways until the fleet has so many, and waits until all know of all.
+// grow starts hollow gateways in batches until the fleet has the size. After each batch it waits until each gateway knows all others.
 func (r *run) grow(size int) error {
-	for len(r.hollow) < size-realGateways {
-		for range min(batch, size-realGateways-len(r.hollow)) {
-			n := len(r.hollow)
+	for len(r.hollowGateways) < size-realGateways {
+		for range min(startBatch, size-realGateways-len(r.hollowGateways)) {
+			n := len(r.hollowGateways)
 			h := newHollow(r, n)
-			r.hollow = append(r.hollow, h)
+			r.hollowGateways = append(r.hollowGateways, h)
 		}
-		r.settle()
-		for _, h := range r.hollow {
+		r.expectAll()
+		for _, h := range r.hollowGateways {
 			if !h.running.Load() {
-				h.begin()
+				h.start()
 			}
 		}
-		all := int64(len(r.hollow) + realGateways) // before more are started: else late probes raise suspicions
-		if err := r.await(joinLimit, func(h *hollow) bool { return h.alive.Load() == all }); err != nil {
-			return fmt.Errorf("at %d: %w", all, err)
+		// All are awaited before the next batch, since probes that are late under load raise suspicions.
+		all := int64(len(r.hollowGateways) + realGateways)
+		if err := r.await(joinTimeout, func(h *hollow) bool { return h.aliveCount.Load() == all }); err != nil {
+			return fmt.Errorf("starting gateways up to number %d: %w", all, err)
 		}
 	}
 	return nil
 }
 
-// settle notes which gateways run: to suspect one of them is wrong.
-func (r *run) settle() {
-	there := map[string]bool{}
+// expectAll stores that all gateways should be alive, so that any suspicion of one counts as wrong.
+func (r *run) expectAll() {
+	expected := map[string]bool{}
 	for _, name := range r.voters {
-		there[name] = true
+		expected[name] = true
 	}
-	for _, h := range r.hollow {
-		there[h.name] = true
+	for _, h := range r.hollowGateways {
+		expected[h.name] = true
 	}
-	r.there.Store(&there)
+	r.expected.Store(&expected)
 }
 
-func (r *run) isThere(name string) bool {
-	there := r.there.Load()
-	return there != nil && (*there)[name]
+// isExpected reports whether a gateway should be alive for all others.
+func (r *run) isExpected(name string) bool {
+	expected := r.expected.Load()
+	return expected != nil && (*expected)[name]
 }
 
-var errLate = errors.New("the fleet did not come to it in time")
+var errTimeout = errors.New("the fleet did not reach the expected state in time")
 
-// await waits until something holds for every hollow gateway that runs.
-func (r *run) await(limit time.Duration, holds func(*hollow) bool) error {
-	for end := time.Now().Add(limit); ; time.Sleep(pollEvery) {
+// await waits until a condition holds for every running hollow gateway.
+func (r *run) await(limit time.Duration, condition func(*hollow) bool) error {
+	for end := time.Now().Add(limit); ; time.Sleep(pollInterval) {
 		missing := 0
-		for _, h := range r.hollow {
-			if h.running.Load() && !holds(h) {
+		for _, h := range r.hollowGateways {
+			if h.running.Load() && !condition(h) {
 				missing++
 			}
 		}
@@ -191,7 +195,7 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%w: %d of %d gateways", errLate, missing, len(r.hollow))
+			return fmt.Errorf("%w: %d of %d gateways have not", errTimeout, missing, len(r.hollowGateways))
 		}
 	}
 }
--- a/internal/lab/scale/usage.go
+++ b/internal/lab/scale/usage.go
@@ -11,48 +11,52 @@
 	"quillrail/internal/lab"
 )
 
-// Usage is what a process has used: seconds of processor time, and memory that is resident now.
-type Usage struct{ Core, MemoryMB float64 }
+// Usage is the seconds of processor time that a process has used, and its resident memory now.
+type Usage struct{ CoreSeconds, MemoryMB float64 }
 
-func (u Usage) since(before Usage) Usage { return Usage{u.Core - before.Core, u.MemoryMB} }
+func (u Usage) since(before Usage) Usage {
+	return Usage{u.CoreSeconds - before.CoreSeconds, u.MemoryMB}
+}
 
-func (u Usage) perSecond(d time.Duration) Usage { return Usage{u.Core / d.Seconds(), u.MemoryMB} }
+func (u Usage) perSecond(d time.Duration) Usage {
+	return Usage{u.CoreSeconds / d.Seconds(), u.MemoryMB}
+}
 
-// usage is that of this process.
-func usage() Usage {
+// ownUsage returns the usage of this process.
+func ownUsage() Usage {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) != nil {
 		return Usage{}
 	}
 	seconds := func(t syscall.Timeval) float64 { return float64(t.Sec) + float64(t.Usec)/1e6 }
-	return Usage{seconds(r.Utime) + seconds(r.Stime), resident(os.Getpid())}
+	return Usage{seconds(r.Utime) + seconds(r.Stime), residentMB(os.Getpid())}
 }
 
-const leaderRole = 2 // as show-stat has it
+const leaderRole = 2 // value of svc.fleet.agreed.role in the reply to show-stat
 
 const (
-	ticksPerSecond = 100 // of /proc, on every Linux
-	statTimes      = 11  // place of utime among the fields behind the name
+	ticksPerSecond    = 100 // unit of the times in /proc/PID/stat, on every Linux
+	statUserTimeField = 11  // index of utime among the fields after the process's name
 )
 
-// usageOf is that of another process, by /proc.
-func usageOf(pid int) Usage {
+// processUsage returns the usage of another process, read from /proc.
+func processUsage(pid int) Usage {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
-	if len(fields) < statTimes+2 {
+	if len(fields) < statUserTimeField+2 {
 		return Usage{}
 	}
-	user, _ := strconv.ParseFloat(fields[statTimes], 64)
-	system, _ := strconv.ParseFloat(fields[statTimes+1], 64)
-	return Usage{(user + system) / ticksPerSecond, resident(pid)}
+	user, _ := strconv.ParseFloat(fields[statUserTimeField], 64)
+	system, _ := strconv.ParseFloat(fields[statUserTimeField+1], 64)
+	return Usage{(user + system) / ticksPerSecond, residentMB(pid)}
 }
 
-// resident is the memory of a process in MB.
-func resident(pid int) float64 {
+// residentMB returns the resident memory of a process in MB.
+func residentMB(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -65,47 +69,48 @@
 	return pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// role is what a real gateway has used and sent by a moment.
-type role struct {
-	usage     Usage
-	sent, got float64
-	leads     bool
+// gatewayUsage is what a real gateway has used, sent and received (in bytes) so far, and whether it is the leader now.
+type gatewayUsage struct {
+	usage          Usage
+	sent, received float64
+	leads          bool
 }
 
-func (r *run) roles() (out []role) {
+func (r *run) gatewayUsages() (out []gatewayUsage) {
 	for _, g := range r.lab.Gateways {
-		out = append(out, roleOf(g))
+		out = append(out, gatewayUsageOf(g))
 	}
 	return out
 }
 
-func roleOf(g *lab.Gateway) role {
-	show, err := g.Ask("show-stat")
+func gatewayUsageOf(g *lab.Gateway) gatewayUsage {
+	show, err := g.SendCommand("show-stat")
 	if err != nil {
-		return role{}
+		return gatewayUsage{}
 	}
-	return role{usageOf(g.Process().PID()), gauge(show, "svc.fleet.sent_bytes"), gauge(show, "svc.fleet.received_bytes"), gauge(show, "svc.fleet.agreed.role") == leaderRole}
+	return gatewayUsage{processUsage(g.Process().PID()), readGauge(show, "svc.fleet.sent_bytes"),
+		readGauge(show, "svc.fleet.received_bytes"), readGauge(show, "svc.fleet.agreed.role") == leaderRole}
 }
 
-// rolesSince is what the real gateways have used since.
-func (r *run) rolesSince(before []role, passed time.Duration) (out []RoleResult) {
-	for i, now := range r.roles() {
-		u := now.usage.since(before[i].usage).perSecond(passed)
-		out = append(out, RoleResult{Name: r.lab.Gateways[i].Name, Leads: now.leads, CorePart: u.Core, MemoryMB: u.MemoryMB,
-			SentPerSec: (now.sent - before[i].sent) / passed.Seconds(), GotPerSec: (now.got - before[i].got) / passed.Seconds()})
+// usageSince returns what the real gateways have used since before, which is passed ago.
+func (r *run) usageSince(before []gatewayUsage, passed time.Duration) (out []RealGatewayResult) {
+	for i, now := range r.gatewayUsages() {
+		spent := now.usage.since(before[i].usage).perSecond(passed)
+		out = append(out, RealGatewayResult{Name: r.lab.Gateways[i].Name, Leads: now.leads, CorePart: spent.CoreSeconds, MemoryMB: spent.MemoryMB,
+			SentPerSec: (now.sent - before[i].sent) / passed.Seconds(), ReceivedPerSec: (now.received - before[i].received) / passed.Seconds()})
 	}
 	return out
 }
 
-func lines(text string) []string { return strings.Split(strings.ReplaceAll(text, "\r", ""), "\n") }
+func splitLines(text string) []string { return strings.Split(strings.ReplaceAll(text, "\r", ""), "\n") }
 
-// gauge reads a figure of show-stat.
-func gauge(show, name string) float64 {
-	for _, line := range lines(show) {
+// readGauge returns the value of a metric in the reply to show-stat, 0 if it is not there.
+func readGauge(show, name string) float64 {
+	for _, line := range splitLines(show) {
 		if rest, ok := strings.CutPrefix(line, name+":"); ok {
 			value, _, _ := strings.Cut(rest, "|")
-			v, _ := strconv.ParseFloat(value, 64)
-			return v
+			number, _ := strconv.ParseFloat(value, 64)
+			return number
 		}
 	}
 	return 0
--- a/internal/lab/serve.go
+++ b/internal/lab/serve.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// handle serves the commands on a connection from a gateway until it is closed or a line is malformed.
 func (w *Worker) handle(c net.Conn) {
 	w.mu.Lock()
 	w.conns[c] = true
@@ -22,7 +23,7 @@
 		c.Close()
 	}()
 	var out sync.Mutex
-	say := func(format string, a ...any) {
+	reply := func(format string, a ...any) {
 		out.Lock()
 		defer out.Unlock()
 		c.SetWriteDeadline(time.Now().Add(time.Second))
@@ -33,16 +34,16 @@
 		if err != nil {
 			return
 		}
-		words := strings.Fields(line)
-		if len(words) < 2 {
+		parts := strings.Fields(line)
+		if len(parts) < 2 {
 			return
 		}
-		switch words[0] {
+		switch parts[0] {
 		case "CALL":
-			if len(words) != 4 {
+			if len(parts) != 4 {
 				return
 			}
-			n, err := strconv.Atoi(words[3])
+			n, err := strconv.Atoi(parts[3])
 			if err != nil || n < 0 || n > 64<<10 {
 				return
 			}
@@ -50,35 +51,36 @@
 			if _, err := io.ReadFull(r, body); err != nil {
 				return
 			}
-			go w.call(words[1], fields(words[2]), string(body[:n]), say)
+			go w.serveCall(parts[1], parseFields(parts[2]), string(body[:n]), reply)
 		case "LOAD":
-			go w.order(words[1], fields(words[2]), say)
+			go w.serveLoad(parts[1], parseFields(parts[2]), reply)
 		case "PING", "STATS":
-			word := "UP"
-			if w.draining(0) {
-				word = "DOWN"
+			state := "UP"
+			if w.drainingFor(0) {
+				state = "DOWN"
 			}
-			say("%s %s %s 0\r\n\r\n", words[1], word, w.use(""))
+			reply("%s %s %s 0\r\n\r\n", parts[1], state, w.loadFields(""))
 		}
 	}
 }
 
-func fields(text string) map[string]string {
-	m := map[string]string{}
+// parseFields parses comma-separated name=value pairs.
+func parseFields(text string) map[string]string {
+	values := map[string]string{}
 	for _, pair := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
-		m[name] = value
+		values[name] = value
 	}
-	return m
+	return values
 }
 
-// use is the fields of an answer: how the call found its function, and the worker's load.
-func (w *Worker) use(detail string) string {
+// loadFields formats the fields of a reply: in which state the call found its function, if detail is not empty, and the worker's load.
+func (w *Worker) loadFields(detail string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	waiting := 0
-	for _, i := range w.copies {
-		waiting += i.waiting
+	for _, copies := range w.copies {
+		waiting += copies.waiting
 	}
 	if detail != "" {
 		detail = "detail=" + detail + ","
@@ -86,136 +88,141 @@
 	return fmt.Sprintf("%suse=queue:%d;inflight:%d;x1:%d;x0:%.2f", detail, waiting, w.inflight, w.loading, min(1, float64(w.loading)/8))
 }
 
-// take judges a call or an order as it comes: whether it may come at all, and whether the worker bears it.
-func (w *Worker) take(call bool) (ok bool, life int) {
+// admit checks a call or a load order at its arrival. It counts one that arrives after a drain's grace, and lets a cold worker collapse
+// if its calls of the last collapseWindow exceed what it can take. ok is false if the worker doesn't answer at all.
+func (w *Worker) admit(isCall bool) (ok bool, incarnation int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if !w.drained.IsZero() && now.Sub(w.drained) > drainGrace+50*time.Millisecond {
+	if !w.drainAnnouncedAt.IsZero() && now.Sub(w.drainAnnouncedAt) > drainGrace+50*time.Millisecond {
 		w.lab.count(func(c *Counts) { c.LateSends++ })
-		w.lab.Logf("%s gets something %v after it was told that nothing comes", w.Name(), now.Sub(w.drained))
+		w.lab.Logf("%s gets a call or a load %v after its drain was announced", w.Name(), now.Sub(w.drainAnnouncedAt))
 	}
-	if age := now.Sub(w.started); call && !w.started.IsZero() && age < w.lab.ColdFor && !w.fallen {
-		w.sends = append(w.sends, now)
-		for len(w.sends) > 0 && now.Sub(w.sends[0]) > fallFor {
-			w.sends = w.sends[1:]
+	if age := now.Sub(w.startedAt); isCall && !w.startedAt.IsZero() && age < w.lab.ColdFor && !w.collapsed {
+		w.recentSends = append(w.recentSends, now)
+		for len(w.recentSends) > 0 && now.Sub(w.recentSends[0]) > collapseWindow {
+			w.recentSends = w.recentSends[1:]
 		}
 		share := w.lab.ColdFrom + (1-w.lab.ColdFrom)*age.Seconds()/w.lab.ColdFor.Seconds()
-		if float64(len(w.sends)) > fallMultiple*share*w.lab.PerSecond*fallFor.Seconds() {
-			w.fallen = true
-			w.lab.count(func(c *Counts) { c.Fell++ })
+		if float64(len(w.recentSends)) > collapseMultiple*share*w.lab.CallsPerSecond*collapseWindow.Seconds() {
+			w.collapsed = true
+			w.lab.count(func(c *Counts) { c.ColdCollapses++ })
 		}
 	}
-	return !w.fallen && !w.hung, w.life
+	return !w.collapsed && !w.hung, w.incarnation
 }
 
-// copyOf returns the copies of a function, and has the first loaded; how says what a call finds.
-func (w *Worker) copyOf(fn string) (i *instance, how string) {
+// copiesOf returns the copies of a function, and starts to load them if there are none. found is what a call finds: warm (loaded),
+// joined (being loaded) or cold.
+func (w *Worker) copiesOf(fn string) (copies *copySet, found string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if i = w.copies[fn]; i != nil {
+	if copies = w.copies[fn]; copies != nil {
 		select {
-		case <-i.ready:
-			return i, "warm"
+		case <-copies.ready:
+			return copies, "warm"
 		default:
-			return i, "joined"
+			return copies, "joined"
 		}
 	}
-	i = &instance{ready: make(chan struct{}), lanes: make(chan struct{}, w.lab.Lanes)}
-	w.copies[fn] = i
+	copies = &copySet{ready: make(chan struct{}), lanes: make(chan struct{}, w.lab.Lanes)}
+	w.copies[fn] = copies
 	w.loading++
-	life := w.life
+	incarnation := w.incarnation
 	go func() {
 		w.lab.store.fetch()
 		w.lab.count(func(c *Counts) { c.Loads++ })
 		w.mu.Lock()
-		if w.life == life {
+		if w.incarnation == incarnation {
 			w.loading--
 		}
-		i.idle = time.AfterFunc(w.lab.KeepAlive, func() {
+		copies.unloadTimer = time.AfterFunc(w.lab.KeepAlive, func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			if w.copies[fn] == i && i.waiting == 0 && len(i.lanes) == 0 {
+			if w.copies[fn] == copies && copies.waiting == 0 && len(copies.lanes) == 0 {
 				delete(w.copies, fn)
 			}
 		})
 		w.mu.Unlock()
-		close(i.ready)
+		close(copies.ready)
 	}()
-	return i, "cold"
+	return copies, "cold"
 }
 
-func (w *Worker) call(id string, f map[string]string, body string, say func(string, ...any)) {
-	w.inside(f["path"], body)
-	ok, life := w.take(true)
+// serveCall runs a call and replies to it, unless the worker has collapsed or lost its process since.
+func (w *Worker) serveCall(id string, params map[string]string, body string, reply func(string, ...any)) {
+	w.checkConfinement(params["path"], body)
+	ok, incarnation := w.admit(true)
 	if !ok {
 		return
 	}
-	if w.draining(acceptsFor) {
-		w.lab.count(func(c *Counts) { c.TurnedAway++ })
-		say("%s BUSY %s 0\r\n\r\n", id, w.use(""))
+	if w.drainingFor(drainAcceptTime) {
+		w.lab.count(func(c *Counts) { c.Rejected++ })
+		reply("%s BUSY %s 0\r\n\r\n", id, w.loadFields(""))
 		return
 	}
-	i, how := w.copyOf(f["path"])
+	copies, found := w.copiesOf(params["path"])
 	w.mu.Lock()
-	if i.waiting >= queueEach {
+	if copies.waiting >= maxQueue {
 		w.mu.Unlock()
-		say("%s BUSY %s 0\r\n\r\n", id, w.use(""))
+		reply("%s BUSY %s 0\r\n\r\n", id, w.loadFields(""))
 		return
 	}
-	i.waiting++
+	copies.waiting++
 	w.inflight++
 	w.mu.Unlock()
-	<-i.ready
-	i.lanes <- struct{}{}
+	<-copies.ready
+	copies.lanes <- struct{}{}
 	w.mu.Lock()
-	i.waiting--
-	alive := w.life == life && !w.hung
+	copies.waiting--
+	alive := w.incarnation == incarnation && !w.hung
 	w.mu.Unlock()
-	word := "VOID"
-	if alive && w.lab.run(w.Hall, f["uniq"], body) {
-		word = "OK"
-		time.Sleep(w.lab.exp(w.lab.Work)) // the stand-in's work is to take time
+	status := "VOID"
+	if alive && w.lab.recordRun(w.Hall, params["uniq"], body) {
+		status = "OK"
+		time.Sleep(w.lab.exp(w.lab.WorkTime)) // the stub's work
 	}
-	<-i.lanes
+	<-copies.lanes
 	w.mu.Lock()
-	if alive = alive && w.life == life && !w.hung; alive {
+	if alive = alive && w.incarnation == incarnation && !w.hung; alive {
 		w.inflight--
-		i.idle.Reset(w.lab.KeepAlive)
+		copies.unloadTimer.Reset(w.lab.KeepAlive)
 	}
 	w.mu.Unlock()
 	if alive {
 		answer := "ran " + body
-		say("%s %s %s %d\r\n%s\r\n", id, word, w.use(how), len(answer), answer)
+		reply("%s %s %s %d\r\n%s\r\n", id, status, w.loadFields(found), len(answer), answer)
 	}
 }
 
-func (w *Worker) order(tag string, f map[string]string, say func(string, ...any)) {
-	w.inside(f["path"], "")
-	if ok, _ := w.take(false); !ok {
+// serveLoad loads a function and replies once it is loaded.
+func (w *Worker) serveLoad(tag string, params map[string]string, reply func(string, ...any)) {
+	w.checkConfinement(params["path"], "")
+	if ok, _ := w.admit(false); !ok {
 		return
 	}
-	i, _ := w.copyOf(f["path"])
-	<-i.ready
-	say("%s OK pods=1 0\r\n\r\n", tag)
+	copies, _ := w.copiesOf(params["path"])
+	<-copies.ready
+	reply("%s OK pods=1 0\r\n\r\n", tag)
 }
 
-// run counts the execution of a request, unless it is the repeat of a key that ran in this hall of late.
-func (l *Lab) run(hall int, key, body string) bool {
+// recordRun counts the execution of a request and returns true. For a key that was executed in this hall within keyWindow it returns
+// false: the request must not be executed.
+func (l *Lab) recordRun(hall int, key, body string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if key != "" {
-		at := fmt.Sprint(hall, " ", key)
-		if last, ok := l.keyed[at]; ok && time.Since(last) < keyWindow {
-			l.counts.Dropped++
+		hallKey := fmt.Sprint(hall, " ", key)
+		if last, ok := l.lastRunByKey[hallKey]; ok && time.Since(last) < keyWindow {
+			l.counts.DroppedRepeats++
 			return false
 		}
-		l.keyed[at] = time.Now()
+		l.lastRunByKey[hallKey] = time.Now()
 	}
 	l.counts.Runs++
-	l.ranAt[body] = hall
-	if l.runs[body]++; l.runs[body] > 1 && body != "" && body[0] != 'r' {
-		l.counts.Twice++
+	l.hallByRequest[body] = hall
+	if l.runsByRequest[body]++; l.runsByRequest[body] > 1 && body != "" && body[0] != 'r' {
+		l.counts.RanTwice++
 	}
 	return true
 }
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// store is what workers fetch models from: the more at once, the longer each takes.
+// store is the stub of the model store. The more loads run concurrently, the longer each takes.
 type store struct {
-	lab  *Lab
-	mu   sync.Mutex
-	now  int
-	over bool // it has been pushed over, and is not well again yet
+	lab        *Lab
+	mu         sync.Mutex
+	loads      int  // in progress
+	overloaded bool // from when loads exceeded Options.StoreLimit until they fell to half of it
 }
 
-// fetch blocks for as long as a load takes now.
+// fetch blocks for the duration of one load, which is three times as long while more than Options.StoreLimit are in progress.
 func (s *store) fetch() {
 	s.mu.Lock()
-	s.now++
-	wait := s.lab.Load * time.Duration(3+s.now) / 4
-	if at := s.lab.StoreAt; at > 0 && s.now > at { // it thrashes
-		if wait *= 3; !s.over {
-			s.over = true
-			s.lab.count(func(c *Counts) { c.Pushed++ })
+	s.loads++
+	wait := s.lab.LoadTime * time.Duration(3+s.loads) / 4
+	if at := s.lab.StoreLimit; at > 0 && s.loads > at { // the store is overloaded
+		if wait *= 3; !s.overloaded {
+			s.overloaded = true
+			s.lab.count(func(c *Counts) { c.StoreOverloads++ })
 		}
-	} else if s.now <= at/2 {
-		s.over = false
+	} else if s.loads <= at/2 {
+		s.overloaded = false
 	}
 	s.mu.Unlock()
-	time.Sleep(wait) // the stand-in's work is to take time
+	time.Sleep(wait) // the stub's work
 	s.mu.Lock()
-	s.now--
+	s.loads--
 	s.mu.Unlock()
 }
--- a/internal/lab/sysfault/inspect.go
+++ b/internal/lab/sysfault/inspect.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// longestPath is how much of a path is read from a process.
-const longestPath = 256
+// maxPathBytes is how many bytes of a path are read from the memory of a process.
+const maxPathBytes = 256
 
-// Local is the address of this end of the socket that the call's first argument refers to, "" if it is none.
+// Local returns the local address of the IPv4 socket that the call's first argument refers to, or "" if it is no such socket.
 func (c Call) Local() string {
-	_, socket, err := c.borrowFile()
+	_, socket, err := c.openArgument()
 	if err != nil {
 		return ""
 	}
@@ -24,15 +24,15 @@
 	return ""
 }
 
-// Path is the path that an argument points to, "" if none can be read there; of a long one it is the beginning.
+// Path returns the path that an argument points to, or "" if it can't be read. It is cut off after maxPathBytes.
 func (c Call) Path(argument int) string {
 	process, err := processOf(c.thread)
 	if err != nil {
 		return ""
 	}
-	text := make([]byte, longestPath)
-	local := []unix.Iovec{{Base: &text[0], Len: longestPath}}
-	remote := []unix.RemoteIovec{{Base: uintptr(c.Args[argument]), Len: longestPath}}
+	text := make([]byte, maxPathBytes)
+	local := []unix.Iovec{{Base: &text[0], Len: maxPathBytes}}
+	remote := []unix.RemoteIovec{{Base: uintptr(c.Args[argument]), Len: maxPathBytes}}
 	n, err := unix.ProcessVMReadv(process, local, remote, 0)
 	if err != nil {
 		return ""
--- a/internal/lab/sysfault/part.go
+++ b/internal/lab/sysfault/partial.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// writeHalf makes the first half of a write (unix.SYS_WRITE or SYS_PWRITE64) in place of the process, on the same open file,
-// and returns how many bytes that were.
-func writeHalf(c Call) (int, error) {
+// writeFirstHalf writes the first half of the data of a write (unix.SYS_WRITE or SYS_PWRITE64) in place of the process, to the same
+// open file, and returns the number of bytes written.
+func writeFirstHalf(c Call) (int, error) {
 	length := int(c.Args[2]) / 2
 	if length == 0 {
 		return 0, nil
 	}
-	process, file, err := c.borrowFile()
+	process, file, err := c.openArgument()
 	if err != nil {
 		return 0, err
 	}
@@ -33,17 +33,17 @@
 	return unix.Write(file, half)
 }
 
-// borrowFile names the process that makes the call, and opens the descriptor that is its first argument.
-func (c Call) borrowFile() (process, file int, err error) {
+// openArgument returns the process that makes the call, and a descriptor of this process for the file that is the first argument.
+func (c Call) openArgument() (process, file int, err error) {
 	if process, err = processOf(c.thread); err != nil {
 		return 0, 0, err
 	}
-	file, err = borrow(process, int(c.Args[0]))
+	file, err = duplicateDescriptor(process, int(c.Args[0]))
 	return process, file, err
 }
 
-// borrow opens a descriptor of another process as one of this process's: the same open file, with its position.
-func borrow(process, descriptor int) (int, error) {
+// duplicateDescriptor duplicates a descriptor of another process into this one. Both share the open file and its position.
+func duplicateDescriptor(process, descriptor int) (int, error) {
 	handle, err := unix.PidfdOpen(process, 0)
 	if err != nil {
 		return 0, err
@@ -52,7 +52,7 @@
 	return unix.PidfdGetfd(handle, descriptor, 0)
 }
 
-// processOf is the process that a thread is of.
+// processOf returns the process to which a thread belongs.
 func processOf(thread uint32) (int, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", thread))
 	if err != nil {
@@ -63,17 +63,17 @@
 			return strconv.Atoi(strings.TrimSpace(value))
 		}
 	}
-	return 0, fmt.Errorf("sysfault: thread %d names no process", thread)
+	return 0, fmt.Errorf("sysfault: no Tgid line in the status of thread %d", thread)
 }
 
-// readShort makes a read of at most so many bytes in place of the process, on the same open file, and returns how many it gave.
-func readShort(c Call, most int) (int, error) {
-	process, file, err := c.borrowFile()
+// readShort reads at most maxRead bytes in place of the process, from the same open file, and returns the number of bytes read.
+func readShort(c Call, maxRead int) (int, error) {
+	process, file, err := c.openArgument()
 	if err != nil {
 		return 0, err
 	}
 	defer unix.Close(file)
-	got := make([]byte, most)
+	got := make([]byte, maxRead)
 	length, err := unix.Read(file, got)
 	if err != nil || length <= 0 {
 		return 0, err
