--- a/internal/lab/sysfault/supervisor.go
+++ b/internal/lab/sysfault/supervisor.go
@@ -19,7 +19,7 @@
 	thread uint32
 }
 
-// File is what the call's first argument refers to, as the kernel names it: "socket:[9]", "anon_inode:[eventfd]", a path.
+// File returns what the call's first argument refers to, as the kernel names it: "socket:[9]", "anon_inode:[eventfd]" or a path.
 // It is empty if the descriptor is not open.
 func (c Call) File() string {
 	name, err := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", c.thread, c.Args[0]))
@@ -29,26 +29,26 @@
 	return name
 }
 
-// Outcome is what becomes of a call. The zero value has it go on.
+// Outcome is what happens to a call. With the zero value it proceeds unchanged.
 type Outcome struct {
-	Errno unix.Errno // it returns this error at once
-	Half  bool       // a write, of which half is written
-	Most  int        // a read, which gives so many bytes at most; 0 for what it asks for
+	Errno     unix.Errno // the call returns this error at once
+	HalfWrite bool       // only the first half of a write is written
+	MaxRead   int        // most bytes that a read returns; 0 for no limit
 }
 
-// Policy says what becomes of a call. A supervisor calls it for one system call at a time.
+// Policy returns what happens to a call. A supervisor calls it for one system call at a time.
 type Policy func(c Call) Outcome
 
-// Supervisor hears of the system calls of the processes of one gateway.
+// Supervisor is notified of system calls of the processes of one gateway, and answers them according to its policy.
 type Supervisor struct {
 	numbers  []uint32
-	deciding sync.Mutex // one process may end as the next begins
+	policyMu sync.Mutex // held while the policy runs, since two processes overlap when a new one takes over
 	policy   atomic.Pointer[Policy]
-	told     atomic.Int64
-	failed   atomic.Int64
+	notified atomic.Int64 // calls
+	failed   atomic.Int64 // calls that failed, or read or wrote less, by the policy
 }
 
-// New returns a supervisor of processes' calls with these numbers (unix.SYS_...); they go on until it is given a policy.
+// New returns a supervisor for system calls with these numbers (unix.SYS_...). All of them proceed until Set sets a policy.
 func New(numbers ...int) *Supervisor {
 	s := &Supervisor{}
 	for _, n := range numbers {
@@ -58,28 +58,28 @@
 	return s
 }
 
-// Set changes the policy; nil has all calls go on.
+// Set sets the policy; nil lets all calls proceed.
 func (s *Supervisor) Set(p Policy) { s.policy.Store(&p) }
 
-// Counts returns how many calls the supervisor was told of and how many of these it has had fail.
-func (s *Supervisor) Counts() (told, failed int64) { return s.told.Load(), s.failed.Load() }
+// Counts returns of how many calls the supervisor was notified, and how many of these it has made fail, wholly or in part.
+func (s *Supervisor) Counts() (notified, failed int64) { return s.notified.Load(), s.failed.Load() }
 
-// Start starts a command, whose program has to call Enter first of all, under the supervisor.
+// Start starts a command under the supervisor. Its program has to call Enter before anything else.
 func (s *Supervisor) Start(cmd *exec.Cmd) error {
 	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
 	}
 	defer unix.Close(pair[0])
-	far := os.NewFile(uintptr(pair[1]), "supervisor")
-	words := make([]string, len(s.numbers))
+	childEnd := os.NewFile(uintptr(pair[1]), "supervisor")
+	numbers := make([]string, len(s.numbers))
 	for i, n := range s.numbers {
-		words[i] = fmt.Sprint(n)
+		numbers[i] = fmt.Sprint(n)
 	}
-	cmd.ExtraFiles = append(cmd.ExtraFiles, far)
-	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d:%s", variable, 2+len(cmd.ExtraFiles), strings.Join(words, ",")))
+	cmd.ExtraFiles = append(cmd.ExtraFiles, childEnd)
+	cmd.Env = append(cmd.Env, fmt.Sprintf("%s=%d:%s", envVariable, 2+len(cmd.ExtraFiles), strings.Join(numbers, ",")))
 	err = cmd.Start()
-	far.Close()
+	childEnd.Close()
 	if err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// receive takes the descriptor that the process sends.
+// receive receives the descriptor of the notifications from the process.
 func receive(socket int) (listener int, err error) {
 	control := make([]byte, unix.CmsgSpace(4))
 	_, n, _, _, err := unix.Recvmsg(socket, make([]byte, 1), control, unix.MSG_CMSG_CLOEXEC)
@@ -100,7 +100,7 @@
 	}
 	messages, err := unix.ParseSocketControlMessage(control[:n])
 	if err != nil || len(messages) != 1 {
-		return 0, fmt.Errorf("sysfault: the process ended before it sent its listener: %v", err)
+		return 0, fmt.Errorf("sysfault: got no descriptor of notifications from the process: %v", err)
 	}
 	rights, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
@@ -109,7 +109,7 @@
 	return rights[0], nil
 }
 
-// notification and response are the kernel's struct seccomp_notif and seccomp_notif_resp.
+// notification is the kernel's struct seccomp_notif, and response its struct seccomp_notif_resp.
 type notification struct {
 	id     uint64
 	thread uint32
@@ -127,7 +127,7 @@
 	flags uint32
 }
 
-// serve answers for each call until the process has ended.
+// serve answers the notifications of a process until it has ended.
 func (s *Supervisor) serve(listener int) {
 	defer unix.Close(listener)
 	for {
@@ -139,32 +139,32 @@
 		}
 		var n notification
 		if ioctl(listener, unix.SECCOMP_IOCTL_NOTIF_RECV, unsafe.Pointer(&n)) != 0 {
-			continue // the thread was killed meanwhile
+			continue // the thread has been killed in the meantime
 		}
-		s.told.Add(1)
+		s.notified.Add(1)
 		r := response{id: n.id, flags: unix.SECCOMP_USER_NOTIF_FLAG_CONTINUE}
 		if policy := *s.policy.Load(); policy != nil {
-			s.deciding.Lock()
-			s.decide(policy, Call{int(n.number), n.args, n.thread}, &r)
-			s.deciding.Unlock()
+			s.policyMu.Lock()
+			s.applyPolicy(policy, Call{int(n.number), n.args, n.thread}, &r)
+			s.policyMu.Unlock()
 		}
 		ioctl(listener, unix.SECCOMP_IOCTL_NOTIF_SEND, unsafe.Pointer(&r))
 	}
 }
 
-// decide words a policy's outcome as the kernel takes it.
-func (s *Supervisor) decide(policy Policy, c Call, r *response) {
+// applyPolicy translates the policy's outcome for a call into a response to the kernel.
+func (s *Supervisor) applyPolicy(policy Policy, c Call, r *response) {
 	switch outcome := policy(c); {
 	case outcome.Errno != 0:
 		s.failed.Add(1)
 		r.errno, r.flags = -int32(outcome.Errno), 0
-	case outcome.Half:
-		if written, err := writeHalf(c); err == nil && written > 0 {
+	case outcome.HalfWrite:
+		if written, err := writeFirstHalf(c); err == nil && written > 0 {
 			s.failed.Add(1)
 			r.value, r.flags = int64(written), 0
 		}
-	case outcome.Most > 0 && uint64(outcome.Most) < c.Args[2]:
-		if length, err := readShort(c, outcome.Most); err == nil && length > 0 {
+	case outcome.MaxRead > 0 && uint64(outcome.MaxRead) < c.Args[2]:
+		if length, err := readShort(c, outcome.MaxRead); err == nil && length > 0 {
 			s.failed.Add(1)
 			r.value, r.flags = int64(length), 0
 		}
--- a/internal/lab/totals.go
+++ b/internal/lab/totals.go
@@ -8,55 +8,57 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// bin counts the requests of a class that were due in a tenth of a second.
+// bin counts the requests of a class that were due within one binLength.
 type bin struct{ due, served int }
 
-var worths = [3]float64{1, 3, 5} // of the classes read, command, once, as the gateways are told
+var classWorths = [3]float64{1, 3, 5} // of the classes read, command and once; the same as in the gateways' settings
 
+// waiter is a call of AwaitServed: done is closed once the served requests reach served.
 type waiter struct {
 	served int
 	done   chan struct{}
 }
 
-// Milestone is what has become of requests by a moment.
+// Milestone is the totals at one time.
 type Milestone struct {
-	At time.Duration // since the traffic began
+	At time.Duration // since the start of the traffic
 	Totals
 }
 
-// Totals count requests, by how their last try ended.
+// Totals counts requests by the outcome of their last try.
 type Totals struct {
-	Calls      int // requests that have ended
-	Served     int
-	Refused    int // the last try too
-	Failed     int
-	Unanswered int // the connection ended without a whole answer, or the client's time did
-	InHand     int // no answer, and the gateway that had it was killed or stopped meanwhile
-	Unreached  int // nobody took it, at any try
-	Wrong      int // served with a body that no worker gave for this request
+	Calls        int // all of them
+	Served       int
+	Refused      int // rejected with status 503 or 429
+	Failed       int
+	Unanswered   int // the connection ended without a complete answer, or the client timed out
+	LostInFlight int `json:"InHand"` // unanswered, and the gateway was killed or stopped meanwhile
+	Unreached    int // no gateway accepted the connection
+	Wrong        int // answered with a body that no worker has sent for this request
 }
 
+// bin returns the bin of a due time and a class (its letter). t.mu is held.
 func (t *Traffic) bin(due time.Time, class byte) *bin {
-	i := int(due.Sub(t.begun) / binLength)
-	for len(t.bins) <= i {
+	index := int(due.Sub(t.begun) / binLength)
+	for len(t.bins) <= index {
 		t.bins = append(t.bins, [3]bin{})
 	}
-	return &t.bins[i][strings.IndexByte("rco", class)]
+	return &t.bins[index][strings.IndexByte("rco", class)]
 }
 
 const binLength = 100 * time.Millisecond
 
-// Worth is the part of the worth that was asked for from a moment on, for so long, that was served. class is 0 to 2, or
-// below 0 for all of them; 1 where nothing was asked for.
-func (t *Traffic) Worth(from time.Time, long time.Duration, class int) float64 {
+// WorthServed returns which part of the worth of the requests that were due between from and from+length was served. class is 0 to 2
+// (read, command, once), or below 0 for all of them. The result is 1 if no request was due.
+func (t *Traffic) WorthServed(from time.Time, length time.Duration, class int) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var due, served float64
-	first := int(from.Sub(t.begun) / binLength)
-	for i := max(0, first); i < min(len(t.bins), first+int(long/binLength)); i++ {
+	firstBin := int(from.Sub(t.begun) / binLength)
+	for i := max(0, firstBin); i < min(len(t.bins), firstBin+int(length/binLength)); i++ {
 		for k, b := range t.bins[i] {
 			if class < 0 || class == k {
-				due, served = due+worths[k]*float64(b.due), served+worths[k]*float64(b.served)
+				due, served = due+classWorths[k]*float64(b.due), served+classWorths[k]*float64(b.served)
 			}
 		}
 	}
@@ -66,29 +68,29 @@
 	return served / due
 }
 
-// Until is how long after back it was until, for the second that follows, so much of the former part of the worth was
-// served; limit if it never was by then.
-func (t *Traffic) Until(back time.Time, former, part float64, class int, limit time.Duration) time.Duration {
+// RecoveryTime returns how long after from it took until WorthServed over the following second was at least part*formerWorth; limit
+// if that did not happen earlier.
+func (t *Traffic) RecoveryTime(from time.Time, formerWorth, part float64, class int, limit time.Duration) time.Duration {
 	for d := time.Duration(0); d < limit; d += binLength {
-		if t.Worth(back.Add(d), time.Second, class) >= part*former {
+		if t.WorthServed(from.Add(d), time.Second, class) >= part*formerWorth {
 			return d
 		}
 	}
 	return limit
 }
 
-// Faults are the first few things that clients met instead of an answer.
-func (t *Traffic) Faults() []string {
+// ErrorSamples returns the errors of the first few unanswered requests.
+func (t *Traffic) ErrorSamples() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.faults
+	return t.errorSamples
 }
 
-// Served waits until so many more requests have been served, at most for limit; false if they were not.
-func (t *Traffic) Served(more int, limit time.Duration) bool {
+// AwaitServed waits until more further requests have been served, at most for limit, and reports whether they have.
+func (t *Traffic) AwaitServed(more int, limit time.Duration) bool {
 	t.mu.Lock()
 	w := waiter{t.totals.Served + more, make(chan struct{})}
-	t.waits = append(t.waits, w)
+	t.waiters = append(t.waiters, w)
 	t.mu.Unlock()
 	select {
 	case <-w.done:
@@ -105,12 +107,11 @@
 	return t.totals
 }
 
-// Latency returns a percentile of the served requests' latency, from when each was meant to begin, and Lateness one of
-// how much later than meant the clients began.
+// Latency returns a percentile of the served requests' latency, measured from when each was due.
 func (t *Traffic) Latency(percent float64) time.Duration { return t.quantile(t.latency, percent) }
 
-// Lateness is how late requests were sent, at a percentile.
-func (t *Traffic) Lateness(percent float64) time.Duration { return t.quantile(t.late, percent) }
+// Lateness returns a percentile of how late the clients sent requests after they were due.
+func (t *Traffic) Lateness(percent float64) time.Duration { return t.quantile(t.lateness, percent) }
 
 func (t *Traffic) quantile(h *hdrhistogram.Histogram, percent float64) time.Duration {
 	t.mu.Lock()
@@ -118,26 +119,29 @@
 	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Marks returns the counts as they stood about every 0.1 s.
-func (t *Traffic) Marks() []Milestone {
+// Milestones returns the totals at intervals of about 0.1 s.
+func (t *Traffic) Milestones() []Milestone {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.marks
+	return t.milestones
 }
 
-// Figures is the line that ends a test with several processes.
-func (l *Lab) Figures(t Totals) string {
+// Summary returns the line of counts that is printed at the end of a run or a test with several processes.
+func (l *Lab) Summary(t Totals) string {
 	c := l.Counts()
-	return fmt.Sprintf("figures: gateways=%d workers=%d kills=%d calls=%d served=%d refused=%d failed=%d unanswered=%d lost_in_hand=%d unreached=%d "+
-		"wrong=%d twice=%d dropped=%d late_sends=%d fell=%d loads=%d store_pushed=%d outside=%d split_sessions=%d crossed=%d turned_away=%d", len(l.Gateways), len(l.Workers), c.Kills, t.Calls, t.Served,
-		t.Refused, t.Failed, t.Unanswered, t.InHand, t.Unreached, t.Wrong, c.Twice, c.Dropped, c.LateSends, c.Fell, c.Loads, c.Pushed, c.Outside, c.Split, c.Crossed, c.TurnedAway)
+	return fmt.Sprintf("figures: gateways=%d workers=%d kills=%d calls=%d served=%d refused=%d failed=%d unanswered=%d lost_in_hand=%d "+
+		"unreached=%d wrong=%d twice=%d dropped=%d late_sends=%d fell=%d loads=%d store_pushed=%d outside=%d split_sessions=%d "+
+		"crossed=%d turned_away=%d", len(l.Gateways), len(l.Workers), c.Kills, t.Calls, t.Served, t.Refused, t.Failed, t.Unanswered,
+		t.LostInFlight, t.Unreached, t.Wrong, c.RanTwice, c.DroppedRepeats, c.LateSends, c.ColdCollapses, c.Loads, c.StoreOverloads,
+		c.OutsideHalls, c.SplitSessions, c.Crossed, c.Rejected)
 }
 
-// Broken names the rules that the stand-ins saw broken, "" if none was.
-func (l *Lab) Broken(t Totals) string {
+// Violations names the rules that were broken, with how often, by the counts of clients and stubs; "" if none was.
+func (l *Lab) Violations(t Totals) string {
 	c, text := l.Counts(), ""
-	for name, n := range map[string]int{"served with a wrong body": t.Wrong, "ran twice": c.Twice, "sent to a draining worker": c.LateSends,
-		"cold worker pushed over": c.Fell, "store pushed over": c.Pushed, "outside of its sites": c.Outside, "split session": c.Split} {
+	for name, n := range map[string]int{"served with a wrong body": t.Wrong, "ran twice": c.RanTwice, "sent to a draining worker": c.LateSends,
+		"cold worker collapsed": c.ColdCollapses, "store pushed over": c.StoreOverloads, "command outside of its halls": c.OutsideHalls,
+		"split session": c.SplitSessions} {
 		if n > 0 {
 			text += fmt.Sprintf("%s: %d; ", name, n)
 		}
--- a/internal/lab/watch.go
+++ b/internal/lab/watch.go
@@ -7,77 +7,78 @@
 )
 
 const (
-	watchEvery = 20 * time.Millisecond
-	noticed    = 4 * time.Second // what is out against its will for so long, the fleet has had the time to see
+	watchInterval = 20 * time.Millisecond
+	noticeTime    = 4 * time.Second // an unplanned outage counts only after this, since the fleet has to notice it first
 )
 
-// Watch looks at the readiness of every gateway, as a front before them would, and counts those that are out.
+// Watch polls the readiness of every gateway, as a load balancer would, and counts the unavailable ones.
 type Watch struct {
-	lab   *Lab
-	limit int
-	over  chan struct{}
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	out   []state
-	most  int
-	broke int
-	times int
+	lab            *Lab
+	limit          int
+	stop           chan struct{}
+	wg             sync.WaitGroup
+	mu             sync.Mutex
+	states         []gatewayState // by the index of the gateway
+	maxUnavailable int            // when a gateway became unavailable as planned
+	violations     int            // how often more than limit were unavailable then
+	planned        int            // how often a gateway became unavailable as planned
 }
 
-// state is how a gateway was last seen.
-type state struct {
-	out     bool
-	purpose bool // it says so itself, or is being changed
-	since   time.Time
+// gatewayState is the last observation of a gateway.
+type gatewayState struct {
+	unavailable bool
+	planned     bool // it is not ready or changes its version, and was not killed or stopped
+	since       time.Time
 }
 
-// Watch begins to look. At most limit gateways may be out where one goes out on purpose.
+// Watch starts to poll. When a gateway becomes unavailable as planned, at most limit of them may be unavailable, itself included.
 func (l *Lab) Watch(limit int) *Watch {
-	w := &Watch{lab: l, limit: limit, over: make(chan struct{}), out: make([]state, len(l.Gateways))}
+	w := &Watch{lab: l, limit: limit, stop: make(chan struct{}), states: make([]gatewayState, len(l.Gateways))}
 	for i, g := range l.Gateways {
 		w.wg.Add(1)
-		go w.look(i, g)
+		go w.watch(i, g)
 	}
 	return w
 }
 
-func (w *Watch) look(i int, g *Gateway) {
+// watch polls one gateway until End.
+func (w *Watch) watch(i int, g *Gateway) {
 	defer w.wg.Done()
-	poll(g, watchEvery, w.over, func(status int) {
-		out := status != http.StatusOK || g.changing.Load() // changing: a process beside it takes over
-		w.see(i, state{out: out, purpose: out && g.unwilling.Load() == 0})
+	poll(g, watchInterval, w.stop, func(status int) {
+		unavailable := status != http.StatusOK || g.changingVersion.Load() // while it changes its version, a second process takes over
+		w.record(i, gatewayState{unavailable: unavailable, planned: unavailable && g.downSince.Load() == 0})
 	})
 }
 
-// see takes how a gateway is now. One that goes out on purpose is one too many if with it more are out than may be.
-func (w *Watch) see(i int, now state) {
+// record stores the observation of a gateway. If the gateway has become unavailable as planned, it checks that no more than limit are.
+func (w *Watch) record(i int, now gatewayState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old := w.out[i]
-	if now.since = old.since; now.out != old.out || now.purpose != old.purpose {
+	old := w.states[i]
+	if now.since = old.since; now.unavailable != old.unavailable || now.planned != old.planned {
 		now.since = time.Now()
 	}
-	w.out[i] = now
-	if !now.purpose || old.out {
+	w.states[i] = now
+	if !now.planned || old.unavailable {
 		return
 	}
-	n := 0
-	for _, s := range w.out {
-		if s.out && (s.purpose || time.Since(s.since) > noticed) {
-			n++
+	count := 0
+	for _, s := range w.states {
+		if s.unavailable && (s.planned || time.Since(s.since) > noticeTime) {
+			count++
 		}
 	}
-	w.times++
-	if w.most = max(w.most, n); n > w.limit {
-		w.broke++
-		w.lab.Logf("%s goes out as number %d, %d at most: %+v", w.lab.Gateways[i].Name, n, w.limit, w.out)
+	w.planned++
+	if w.maxUnavailable = max(w.maxUnavailable, count); count > w.limit {
+		w.violations++
+		w.lab.Logf("%s becomes unavailable as number %d, at most %d are allowed: %+v", w.lab.Gateways[i].Name, count, w.limit, w.states)
 	}
 }
 
-// End stops looking. It returns how often a gateway went out on purpose, how many were out at most then, and how often that
-// were too many.
-func (w *Watch) End() (times, most, over int) {
-	close(w.over)
+// End stops polling. It returns how often a gateway became unavailable as planned, how many were unavailable then at most, and how
+// often that were more than the limit.
+func (w *Watch) End() (planned, maxUnavailable, violations int) {
+	close(w.stop)
 	w.wg.Wait()
-	return w.times, w.most, w.broke
+	return w.planned, w.maxUnavailable, w.violations
 }
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -7,50 +7,50 @@
 	"time"
 )
 
-// Worker is a stand-in for a machine that runs functions: it loads copies on demand, runs so many calls at a time on
-// each, starts cold, and falls over when too much comes while it is.
+// Worker is the stub of a machine that runs functions. It loads copies on demand, runs a call in each lane of a copy, is cold after a
+// restart, and collapses if it gets too many calls while it is cold.
 type Worker struct {
-	Hall int
-	lab  *Lab
-	n    int
+	Hall  int
+	lab   *Lab
+	index int
 
-	mu        sync.Mutex
-	ln        net.Listener
-	addr      string
-	conns     map[net.Conn]bool
-	copies    map[string]*instance
-	inflight  int
-	loading   int
-	started   time.Time // zero: warm for long
-	sends     []time.Time
-	fallen    bool
-	hung      bool      // says nothing more, as a machine that has vanished
-	banned    bool      // for good
-	drained   time.Time // when all were told that it drains, or count as told, or zero
-	drains    time.Time // when it began to drain, or zero
-	toldStart int64     // when it was started, as the list tells it
-	life      int       // a call of a former life is not answered
+	mu               sync.Mutex
+	ln               net.Listener
+	addr             string
+	conns            map[net.Conn]bool
+	copies           map[string]*copySet
+	inflight         int         // calls
+	loading          int         // copies
+	startedAt        time.Time   // of the last restart; zero before it, when the worker is warm
+	recentSends      []time.Time // arrivals of calls within the last collapseWindow, while the worker is cold
+	collapsed        bool        // answers no calls and loads until the next restart
+	hung             bool        // answers no calls and loads, and leaves connections open, as a machine that has vanished
+	banned           bool        // never lifted
+	drainAnnouncedAt time.Time   // when its drain or ban counts as announced to all gateways, or zero
+	drainingSince    time.Time   // when it started to drain, or zero
+	listedStart      int64       // its start time in the list, in Unix ms
+	incarnation      int         // counts restarts and crashes; calls of an earlier incarnation are not answered
 }
 
-// instance is the copies of a function at a worker.
-type instance struct {
-	ready   chan struct{} // closed once loaded
-	lanes   chan struct{}
-	waiting int
-	idle    *time.Timer
+// copySet is the loaded copies of a function at a worker.
+type copySet struct {
+	ready       chan struct{} // closed once loaded
+	lanes       chan struct{} // holds an element for each lane in use
+	waiting     int           // calls that wait for a lane
+	unloadTimer *time.Timer   // unloads the copies after Options.KeepAlive
 }
 
 func newWorker(l *Lab, n int) (*Worker, error) {
-	w := &Worker{lab: l, n: n, Hall: n % l.Halls, conns: map[net.Conn]bool{}, copies: map[string]*instance{}}
+	w := &Worker{lab: l, index: n, Hall: n % l.Halls, conns: map[net.Conn]bool{}, copies: map[string]*copySet{}}
 	l.onClose(func() { w.stop(true) })
 	return w, w.listen(fmt.Sprintf("127.78.0.%d:0", n+1))
 }
 
-// Name is the worker's name in the list.
-func (w *Worker) Name() string { return fmt.Sprintf("s-%08x", w.n+1) }
+// Name returns the worker's name in the list.
+func (w *Worker) Name() string { return fmt.Sprintf("s-%08x", w.index+1) }
 
-// at is where the worker listens, or did.
-func (w *Worker) at() string {
+// address returns where the worker listens, or last listened.
+func (w *Worker) address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.addr
@@ -64,11 +64,11 @@
 	w.mu.Lock()
 	w.ln, w.addr = ln, ln.Addr().String()
 	w.mu.Unlock()
-	go w.lab.serve(ln, w.handle)
+	go w.lab.acceptAll(ln, w.handle)
 	return nil
 }
 
-// stop ends the worker's process: its connections are reset, or hang where the machine has vanished.
+// stop ends the worker's process. With reset its connections are reset; without it they hang, as if the machine had vanished.
 func (w *Worker) stop(reset bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,8 +76,8 @@
 		w.ln.Close()
 		w.ln = nil
 	}
-	w.life++
-	w.copies, w.inflight, w.loading, w.hung = map[string]*instance{}, 0, 0, !reset
+	w.incarnation++
+	w.copies, w.inflight, w.loading, w.hung = map[string]*copySet{}, 0, 0, !reset
 	for c := range w.conns {
 		if reset {
 			c.(*net.TCPConn).SetLinger(0)
@@ -89,45 +89,45 @@
 	}
 }
 
-// Crash ends the worker at once; nobody is told.
+// Crash ends the worker at once, without an event in the bulletin.
 func (w *Worker) Crash() { w.lab.Logf("%s crashes", w.Name()); w.stop(true) }
 
-// Restart starts a worker that was ended, empty and cold, and has the bulletin say so.
+// Restart starts the worker empty and cold, and announces it in the bulletin.
 func (w *Worker) Restart() error {
 	w.stop(true)
-	if err := w.listen(w.at()); err != nil {
+	if err := w.listen(w.address()); err != nil {
 		return err
 	}
 	w.mu.Lock()
-	w.started, w.sends, w.fallen, w.hung = time.Now(), nil, false, false
-	w.drains = time.Time{}
+	w.startedAt, w.recentSends, w.collapsed, w.hung = time.Now(), nil, false, false
+	w.drainingSince = time.Time{}
 	if !w.banned {
-		w.drained = time.Time{}
+		w.drainAnnouncedAt = time.Time{}
 	}
-	at := w.lab.wall(w.started)
-	w.toldStart = unixMilli(at)
+	at := w.lab.wallTime(w.startedAt)
+	w.listedStart = unixMilli(at)
 	w.mu.Unlock()
-	w.lab.Logf("%s is started anew", w.Name())
-	w.lab.tell(w, 0, at)
+	w.lab.Logf("%s restarts", w.Name())
+	w.lab.publish(w, 0, at)
 	return nil
 }
 
-// Drain has the bulletin say that the worker takes nothing new; it goes on with what it has, and for acceptsFor with what
-// comes. Then it turns calls away.
+// Drain announces in the bulletin that the worker drains. The worker finishes its calls, and still accepts new ones for
+// drainAcceptTime; then it rejects them.
 func (w *Worker) Drain() {
-	told := w.lab.listsTold(time.Now())
+	announcedAt := w.lab.announcedAt(time.Now())
 	w.mu.Lock()
-	w.drains, w.drained = time.Now(), told
+	w.drainingSince, w.drainAnnouncedAt = time.Now(), announcedAt
 	w.mu.Unlock()
 	w.lab.Logf("%s drains", w.Name())
-	w.lab.tell(w, 1, time.Time{})
+	w.lab.publish(w, 1, time.Time{})
 }
 
-// Banned notes that operators have left the worker out: what comes to it once the grace is over is counted as for one that
-// drains, also after it was started anew.
-func (w *Worker) Banned() {
+// MarkBanned records that operators have banned the worker: calls that arrive after the grace are counted as they are for a draining
+// worker, also after a restart.
+func (w *Worker) MarkBanned() {
 	w.mu.Lock()
-	w.drained, w.banned = time.Now(), true
+	w.drainAnnouncedAt, w.banned = time.Now(), true
 	w.mu.Unlock()
-	w.lab.Logf("%s is left out by hand", w.Name())
+	w.lab.Logf("%s is banned", w.Name())
 }
