--- a/internal/fleet/admit.go
+++ b/internal/fleet/admit.go
@@ -19,8 +19,8 @@
 	if c.saved != nil {
 		gateways = max(gateways, c.saved.Alive)
 	}
-	c.admission = recover.NewAdmission(recover.AdmissionConfig{ClassWorth: c.classWorth, FormerRate: c.formerRate, FirstLoads: c.settings.FirstLoads,
-		Gateways: gateways}, c.averageCapacity(), c.host.Now())
+	c.admission = recover.NewAdmission(recover.AdmissionConfig{ClassWorth: c.classWorth, FormerRate: c.formerRate,
+		FirstLoads: c.settings.FirstLoads, Gateways: gateways}, c.averageCapacity(), c.host.Now())
 	for fn := range c.peerState.LoadedCopies {
 		c.admission.MarkLoaded(fn)
 	}
@@ -41,8 +41,8 @@
 	if c.admission == nil {
 		return
 	}
-	c.host.Log().Info("clients are admitted", zap.Float64("calls_per_s", c.admission.Rate()), zap.Int("first_loads", c.admission.MaxFirstLoads()),
-		zap.Int("gateways", gateways))
+	c.host.Log().Info("clients are admitted", zap.Float64("calls_per_s", c.admission.Rate()),
+		zap.Int("first_loads", c.admission.MaxFirstLoads()), zap.Int("gateways", gateways))
 }
 
 // unrestartedWorkers returns the workers that have not restarted since the state was saved: functions loaded there then may still
--- a/internal/fleet/freeze/freeze_test.go
+++ b/internal/fleet/freeze/freeze_test.go
@@ -30,7 +30,7 @@
 }
 
 // Checks the edges of periods, including the margin for clocks. A start or end at a local time that the zone's clock repeats or skips
-// may make a period longer, but never shorter. Rules without an end hold for good, also across the new year.
+// may make a period longer, but never shorter. Rules without an end apply indefinitely, also across the new year.
 func TestPeriodInForceAcrossZoneShiftsAndRecurrence(t *testing.T) {
 	const helsinki = "Europe/Helsinki" // UTC+2, in summer UTC+3
 	for name, c := range map[string]struct {
--- a/internal/fleet/freeze/period.go
+++ b/internal/fleet/freeze/period.go
@@ -1,6 +1,6 @@
 // Package freeze decides when changes of a fleet are not accepted. It implements declared freeze periods, which are given in a
-// named time zone and may recur, the exceptions from them, and the margins for clocks that are off. It is pure: callers pass
-// in all times.
+// named time zone and may recur, the exceptions from them, and the margins for clocks that are off. It reads no clock:
+// callers pass in all times.
 package freeze
 
 import (
@@ -193,7 +193,7 @@
 	}
 }
 
-// Covers reports whether the period forbids changes of a kind in any of halls. Empty halls stand for all of them.
+// Covers reports whether the period forbids changes of a kind in any of halls. No halls means all of them.
 func (p *Period) Covers(kind Kind, halls []string) bool {
 	if len(p.Kinds) > 0 && !slices.Contains(p.Kinds, kind) {
 		return false
@@ -202,7 +202,7 @@
 }
 
 // InForce reports whether the period may be in force when a clock shows the time at, given that the clock may be off by bound.
-// until is when that is no longer possible by the same clock.
+// until is the time on the same clock from which that is no longer possible.
 func (p *Period) InForce(at time.Time, bound time.Duration) (until time.Time, in bool) {
 	margin := bound.Milliseconds()
 	shown := at.UnixMilli()
--- a/internal/fleet/freeze/state.go
+++ b/internal/fleet/freeze/state.go
@@ -17,7 +17,7 @@
 	Used   bool      // its change has been made
 }
 
-// Lift is the What of an exception that permits to end or shorten the period itself.
+// Lift is the What of an exception that permits ending or shortening the period itself.
 const Lift = "lift"
 
 const maxExceptions = 256
@@ -94,7 +94,7 @@
 	if err := exception.check(period.Name, string(kind), c); err != nil {
 		return fmt.Errorf("%s of %s forbids %s now: %w", period.Name, period.Owner, kind, err)
 	}
-	for _, other := range s.Periods { // an exception is from one period only
+	for _, other := range s.Periods { // an exception applies to one period only
 		if _, in := other.InForce(c.At, c.Bound); in && other != period && other.Covers(kind, halls) {
 			return fmt.Errorf("%s of %s forbids %s as well", other.Name, other.Owner, kind)
 		}
@@ -188,7 +188,7 @@
 }
 
 // RenewSpans replaces a period's stored occurrences by spans, the coming ones by the leader's zone data. Stored occurrences that are
-// not over stay, so that the period gets shorter for no gateway.
+// not over stay, so that the period does not get shorter for any gateway.
 func (s *State) RenewSpans(name string, spans []Span, now time.Time) {
 	for _, p := range s.Periods {
 		if p.Name != name {
--- a/internal/fleet/gateway.go
+++ b/internal/fleet/gateway.go
@@ -25,8 +25,8 @@
 
 // Gateway is the gateway as Recovery controls it. Its methods are called on the event loop.
 type Gateway interface {
-	Begin(b InitialState) error // starts to follow the worker list; clients are not served yet
-	Serve()                     // starts to serve clients
+	Begin(initial InitialState) error // starts to follow the worker list; clients are not served yet
+	Serve()                           // starts to serve clients
 	Remember() *decide.Snapshot
 	Saved() roster.Saved
 	LastEvent() uint64 // number of the last event of the worker list that was applied
@@ -35,5 +35,5 @@
 	// AssumeRate sets the former rate of served calls, by which cold workers are assessed, and the largest number of loads in
 	// progress; 0 means no assumption and no limit.
 	AssumeRate(perSec float64, loads int)
-	Hold(ids map[string]bool) // replaces the set of workers held back since peers list them as draining
+	Hold(ids map[string]bool) // replaces the set of workers that are held back because peers list them as draining
 }
--- a/internal/fleet/link/link.go
+++ b/internal/fleet/link/link.go
@@ -27,8 +27,8 @@
 	maxQueueBytes    = 8 << 20 // bytes queued for one gateway
 	maxQueueMessages = 4096    // messages queued for one gateway
 	maxPeers         = 1024    // connections in each direction
-	maxHello         = 4096
-	credit           = 64 // messages per connection that have been read but not handled yet
+	maxHello         = 4096    // bytes
+	credit           = 64      // messages per connection that have been read but not handled yet
 	dialTimeout      = time.Second
 	ioTimeout        = 3 * time.Second // for a write, and for the Hello to arrive; then the connection is closed
 	idleTimeout      = 60 * time.Second
@@ -54,9 +54,9 @@
 
 // Stats counts the messages sent by this gateway.
 type Stats struct {
-	Sent, Lost uint64 // written to a connection; dropped or failed to be written
-	Bytes      uint64 // written
-	Peers      int
+	Sent, Lost uint64 // messages written to a connection; messages dropped or not written
+	Bytes      uint64 // bytes written
+	Peers      int    // outgoing connections, open or being opened
 }
 
 // Manager owns this gateway's links to all others. Its methods may be called from any goroutine.
--- a/internal/fleet/member/delegate.go
+++ b/internal/fleet/member/delegate.go
@@ -64,16 +64,16 @@
 	}
 }
 
-// event reports an observation of a gateway to the handler. detected is Joining for a gateway that is alive, whose own state is
-// reported then, and else the state that was detected.
+// event reports an observation of a gateway to the handler. If detected is Joining, the gateway is alive, and the state that it
+// announces is reported; otherwise detected is reported.
 func (t *Transport) event(n *memberlist.Node, detected State) {
-	c, err := metadataOf(n)
+	metadata, err := metadataOf(n)
 	if err != nil {
 		t.reportOnce(err.Error())
 		return
 	}
-	t.routes.Store(c.Name, route{n.Address(), detected == Joining})
-	e := Event{Metadata: c, State: c.State}
+	t.routes.Store(metadata.Name, route{n.Address(), detected == Joining})
+	e := Event{Metadata: metadata, State: metadata.State}
 	if detected != Joining {
 		e.State = detected
 	}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -1,5 +1,5 @@
 // Package member tracks which gateways of the fleet are alive. The decisions about them are in this file, which does no I/O;
-// transport.go exchanges the underlying messages by hashicorp/memberlist.
+// transport.go exchanges the underlying messages with hashicorp/memberlist.
 package member
 
 import (
@@ -71,7 +71,7 @@
 }
 
 const (
-	maxName  = 64
+	maxName  = 64   // bytes
 	maxPeers = 4096 // gateways that a View tracks
 )
 
--- a/internal/fleet/member/reach.go
+++ b/internal/fleet/member/reach.go
@@ -13,8 +13,8 @@
 // aliveAddrs returns the addresses of the other gateways that are alive.
 func (t *Transport) aliveAddrs() (addrs []string) {
 	t.routes.Range(func(name, p any) bool {
-		if p := p.(route); p.alive && name != t.opts.Self.Name {
-			addrs = append(addrs, p.addr)
+		if target := p.(route); target.alive && name != t.opts.Self.Name {
+			addrs = append(addrs, target.addr)
 		}
 		return true
 	})
@@ -28,14 +28,14 @@
 }
 
 // SendAll queues a message for each gateway that is alive, on the links. It is for messages that must not be late: gossip
-// reaches all gateways eventually, but now and then one in nine only after two seconds.
+// reaches all gateways eventually, but sometimes reaches one gateway of nine only after two seconds.
 func (t *Transport) SendAll(m link.Message) {
 	for _, addr := range t.aliveAddrs() {
 		t.links.Send(addr, m)
 	}
 }
 
-// Sync exchanges state with one gateway that is alive, trying one after the other. It reports whether one has answered.
+// Sync exchanges state with one gateway that is alive: it tries them one by one until one answers, and reports whether one has.
 func (t *Transport) Sync() bool {
 	for _, addr := range t.aliveAddrs() {
 		if n, err := t.list.Join([]string{addr}); err == nil && n > 0 {
--- a/internal/fleet/member/shared_transport.go
+++ b/internal/fleet/member/shared_transport.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	firstByteTimeout = 3 * time.Second // for the first byte of an incoming connection, which tells its protocol
+	firstByteTimeout = 3 * time.Second // for the first byte of an incoming connection, which identifies its protocol
 	maxPendingConns  = 64              // connections that memberlist has not accepted yet
 )
 
@@ -24,7 +24,7 @@
 	acceptLink func(net.Conn)
 	stopped    chan struct{} // closed after the sockets
 
-	closing chan struct{} // closed before the sockets: data is read but dropped, since the sockets' readers block until it is read
+	closing chan struct{} // closed before the sockets; data is then taken from their readers, which would block otherwise, and dropped
 	host    net.IP        // the bound address
 	network Network       // nil for the machine's network
 	packets chan *memberlist.Packet
--- a/internal/fleet/member/transport.go
+++ b/internal/fleet/member/transport.go
@@ -33,7 +33,7 @@
 type Options struct {
 	Fleet string            // name of the fleet; messages of another fleet are ignored
 	Bind  string            // host:port for datagrams and connections
-	Seeds []string          // host:port of gateways to contact at first; this gateway's own may be among them
+	Seeds []string          // host:port of gateways to contact first; this gateway's own may be among them
 	Via   map[string]string // maps the address that a gateway announces to the one at which it is reached, where these differ
 	Self  Metadata
 
@@ -186,8 +186,8 @@
 }
 
 // Announce changes this gateway's metadata and sends it to the others.
-func (t *Transport) Announce(c Metadata) {
-	t.metadata.Store(&c)
+func (t *Transport) Announce(metadata Metadata) {
+	t.metadata.Store(&metadata)
 	go t.list.UpdateNode(leaveTimeout)
 }
 
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -40,7 +40,7 @@
 	storedEntries map[string][]byte // entries found on disk; set only while the parts begin
 	transport     *member.Transport
 	begun         bool          // the disk has been read, or has not answered in time
-	joined        bool          // the seeds have answered, or have not in time
+	joined        bool          // the seeds have answered, or the time for it is over
 	stageStart    time.Duration // when reading the disk, or then joining, started
 	stopped       bool
 	syncStarted   bool // since the last pause, an exchange with a peer has started and has not failed
@@ -85,7 +85,7 @@
 	n.tick()
 }
 
-// useStored begins with the state found on disk. State read after recover.ReadLimit is not used; the store is then only written to.
+// useStored starts the parts with the state found on disk. State read after recover.ReadLimit is ignored: the store is then only written.
 func (n *Node) useStored(r readResult) {
 	if n.stopped {
 		if r.db != nil {
@@ -192,7 +192,7 @@
 // checkPause detects that the process was paused. Shared state must not be acted on then until state was exchanged with a peer.
 func (n *Node) checkPause(now time.Duration) {
 	if !n.view.Heartbeat(now) {
-		n.log.Warn("this process was paused; exchanging state with a peer before acting on shared state")
+		n.log.Warn("this process stood still; the others are asked before anything shared is done")
 		n.syncStarted = false
 	}
 	if n.view.MayAct() || n.syncStarted || n.transport == nil {
--- a/internal/fleet/part.go
+++ b/internal/fleet/part.go
@@ -27,7 +27,7 @@
 	// Receive handles a message of the same part at another gateway.
 	Receive(m Received)
 	// MemberChanged handles an event of another gateway, with its effect on the view.
-	MemberChanged(e member.Event, what member.Transition)
+	MemberChanged(e member.Event, transition member.Transition)
 	// LocalState returns the state that is sent to other gateways, nil for none.
 	LocalState() []byte
 	// Save returns a function that encodes the state to be stored on disk, which is called outside the event loop; nil if there
@@ -55,10 +55,10 @@
 // MemberChanged does nothing.
 func (Base) MemberChanged(member.Event, member.Transition) {}
 
-// LocalState does nothing.
+// LocalState returns nil: there is no state to send.
 func (Base) LocalState() []byte { return nil }
 
-// Save does nothing.
+// Save returns nil: there is no state to store.
 func (Base) Save() func() ([]byte, error) { return nil }
 
 // Metrics does nothing.
--- a/internal/fleet/recover/admit.go
+++ b/internal/fleet/recover/admit.go
@@ -9,15 +9,15 @@
 
 const (
 	stepInterval      = 500 * time.Millisecond // the admitted rate is adjusted once per step
-	increaseFactor    = 1.5                    // applied to the rate after a step in which most ended requests were served
+	increaseFactor    = 1.5                    // applied to the rate after a step in which most ended calls were served
 	decreaseFactor    = 0.8                    // applied to the rate after a step in which too few were served
-	increaseThreshold = 0.9                    // served share of ended requests from which the rate is increased
-	decreaseThreshold = 0.6                    // served share of ended requests below which the rate is decreased
-	initialShare      = 0.5                    // of the former rate is admitted at first, even if all workers are cold
+	increaseThreshold = 0.9                    // served share of ended calls from which the rate is increased
+	decreaseThreshold = 0.6                    // served share of ended calls below which the rate is decreased
+	initialShare      = 0.5                    // part of the former rate that is admitted at first, even if all workers are cold
 	maxRateFactor     = 2.0                    // bound of the rate, relative to the former rate; the rate starts there if all workers are warm
-	burstWindow       = 300 * time.Millisecond // a burst may hold as many requests as the rate allows in this time
+	burstWindow       = 300 * time.Millisecond // a burst may hold as many calls as the rate allows in this time
 	reserveShare      = 0.5                    // share of the burst that the class of lowest worth leaves to the others
-	firstLoadTimeout  = 3 * time.Second        // a first load without a result frees its place after this time
+	firstLoadTimeout  = 3 * time.Second        // a first load without a result no longer counts as in flight after this time
 	minCleanSteps     = 2                      // steps in a row without rejections that end the limit, once the rate has reached the former rate
 )
 
@@ -29,7 +29,7 @@
 	Gateways   int       // gateways of the fleet that are available
 }
 
-// Admission limits the requests that are admitted while the gateway recovers. The admitted rate rises in steps, and classes of
+// Admission limits the calls that are admitted while the gateway recovers. The admitted rate rises in steps, and classes of
 // lower worth are rejected first. The number of concurrent first loads is limited to this gateway's share of what the model
 // store can take.
 type Admission struct {
@@ -39,17 +39,17 @@
 	tokens     float64
 	refilledAt time.Duration
 	stepStart  time.Duration
-	served     int                      // admitted requests served in this step
-	failed     int                      // admitted requests that the module refused, or that failed, in this step
-	rejected   int                      // requests rejected here in this step
-	cleanSteps int                      // consecutive steps in which requests were served and none was rejected here
+	served     int                      // admitted calls served in this step
+	failed     int                      // admitted calls that the module refused, or that failed, in this step
+	rejected   int                      // calls rejected here in this step
+	cleanSteps int                      // consecutive steps in which calls were served and none was rejected here
 	loaded     map[string]bool          // functions with a loaded copy
 	loading    map[string]time.Duration // first loads in flight, by function, with the time they began
 	done       bool
 }
 
-// NewAdmission returns an admission that begins at now. capacityShare is the share of their full capacity that the workers
-// have at present, cold as they are, from 0 to 1.
+// NewAdmission returns an admission that begins at now. capacityShare is the share of their full capacity, from 0 to 1, that
+// the workers have at present, while some of them may be cold.
 func NewAdmission(config AdmissionConfig, capacityShare float64, now time.Duration) *Admission {
 	a := &Admission{config: config, refilledAt: now, stepStart: now, loaded: map[string]bool{}, loading: map[string]time.Duration{}}
 	a.rate = config.FormerRate * max(initialShare, maxRateFactor*min(1, capacityShare))
@@ -77,8 +77,8 @@
 	delete(a.loading, fn)
 }
 
-// Admit reports whether a request is admitted. If a copy of its function is loaded, the rate and the reserve of its class
-// decide. If no copy is known, the request needs a place among the first loads; further requests for a function whose first
+// Admit reports whether a call is admitted. If a copy of its function is loaded, the rate and the reserve of its class
+// decide. If no copy is known, the call needs a place among the first loads; further calls for a function whose first
 // load is in flight are admitted too, and wait in the module for as long as it expects to serve them in time.
 func (a *Admission) Admit(now time.Duration, class int, fn string) bool {
 	if a.Done(now) {
@@ -113,7 +113,7 @@
 	return true
 }
 
-// RecordOutcome records how an admitted request has ended. Only requests for functions that were loaded before are evidence of
+// RecordOutcome records how an admitted call has ended. Only calls for functions that were loaded before are evidence of
 // whether the rate is right, since the others waited for their loads.
 func (a *Admission) RecordOutcome(fn string, served bool) {
 	switch wasLoaded := a.loaded[fn]; {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Done reports whether all requests are admitted without limit. Once it has returned true it always does.
+// Done reports whether all calls are admitted without limit. Once it has returned true it always does.
 func (a *Admission) Done(now time.Duration) bool {
 	for !a.done && now-a.stepStart >= stepInterval {
 		a.stepStart += stepInterval
--- a/internal/fleet/recover/age.go
+++ b/internal/fleet/recover/age.go
@@ -1,11 +1,11 @@
-// Package recover decides which of its former state a starting gateway trusts, how it merges the answers of its peers, and in
-// which phases it takes up service. It is pure: times and events come in, and decisions go out.
+// Package recover decides which part of its former state a starting gateway trusts, how it merges the answers of its peers, and in
+// which phases it starts to serve. It does no I/O and reads no clock: callers pass in times and events.
 package recover
 
 import "time"
 
-// Stamp is a moment as a process can know it. Wall may step at any time, and is arbitrary after a power loss. Up never steps,
-// but can only be compared within one boot.
+// Stamp is a point in time by the clocks that a process can read. Wall may step at any time, and is arbitrary after
+// a power loss. Up never steps, but can only be compared within one boot.
 type Stamp struct {
 	Wall time.Duration // Unix time
 	Boot string        // identifies the boot of the machine; "" if not known
--- a/internal/fleet/recover/answer.go
+++ b/internal/fleet/recover/answer.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Answer is what a gateway answers to a peer that queries it. It holds ages instead of times, so that the clocks of two machines
+// Answer is a gateway's answer to a query of a peer. It holds ages instead of times, so that the clocks of two machines
 // are never compared.
 type Answer struct {
 	Event        uint64            // the last event of the worker list that the gateway has applied
-	Draining     []string          // workers that are draining by this list
+	Draining     []string          // workers that are draining according to this list
 	BanRecords   BanRecords        `msgpack:"Marks"` // operators' decisions on workers
 	Started      map[string]int64  // milliseconds since the start of each worker that is cold or was recently
 	LoadedCopies map[string][]Copy `msgpack:"Stands"` // copies found to be loaded, by function
@@ -59,7 +59,7 @@
 type PeerState struct {
 	BanRecords    BanRecords
 	Event         uint64                              // the newest event of the worker list that a peer has applied
-	Draining      map[string]uint64                   // workers that drain by a peer's list, with the newest event at which they do
+	Draining      map[string]uint64                   // workers that a peer's list shows as draining, with the newest event of such a list
 	Started       map[string]time.Duration            // the latest start of each worker, by this gateway's clock
 	LoadedCopies  map[string]map[string]time.Duration // when a copy was last found to be loaded, by function and worker
 	Answers       int                                 // gateways that have answered
@@ -101,9 +101,9 @@
 	}
 }
 
-// NewerDrains returns the workers that drain by a peer's list that is newer than this gateway's, whose last event is ownEvent.
-// They must not be used until this gateway's list has reached the event given for them. Workers whose event has been reached
-// are forgotten.
+// NewerDrains returns the workers that are draining according to a peer's list newer than this gateway's own, each with the event
+// of that list. ownEvent is the last event of the own list. The workers must not be used until the own list has reached that event.
+// Workers whose event has been reached are forgotten.
 func (p *PeerState) NewerDrains(ownEvent uint64) map[string]uint64 {
 	maps.DeleteFunc(p.Draining, func(_ string, event uint64) bool { return event <= ownEvent })
 	return maps.Clone(p.Draining)
--- a/internal/fleet/recover/phases.go
+++ b/internal/fleet/recover/phases.go
@@ -10,7 +10,7 @@
 	Reading   Phase = iota // the gateway reads its state from disk; operators are served already
 	Querying               // it queries its peers
 	Listing                // it waits for an up-to-date list of workers
-	Admitting              // it admits a limited share of the clients' requests
+	Admitting              // it admits a limited share of the clients' calls
 	Full                   // it is in full service
 )
 
--- a/internal/fleet/recover/recover_test.go
+++ b/internal/fleet/recover/recover_test.go
@@ -79,7 +79,8 @@
 			c.Orders, c.Arrivals, c.RefilledAt = slices.Clone(m.Orders), slices.Clone(m.Arrivals), slices.Clone(m.RefilledAt)
 			c.Tokens, c.HeldDeficit = slices.Clone(m.Tokens), slices.Clone(m.HeldDeficit)
 			w := m.Workers[0]
-			w.EjectedUntil, w.EjectedFor, w.ColdSends, w.Deficit = slices.Clone(w.EjectedUntil), slices.Clone(w.EjectedFor), slices.Clone(w.ColdSends), slices.Clone(w.Deficit)
+			w.EjectedUntil, w.EjectedFor, w.ColdSends, w.Deficit = slices.Clone(w.EjectedUntil), slices.Clone(w.EjectedFor),
+				slices.Clone(w.ColdSends), slices.Clone(w.Deficit)
 			f := m.Functions[0]
 			f.Placements = slices.Clone(f.Placements)
 			c.Workers, c.Functions = []decide.WorkerSnapshot{w}, []decide.FunctionSnapshot{f}
--- a/internal/fleet/recover/trust.go
+++ b/internal/fleet/recover/trust.go
@@ -51,13 +51,13 @@
 	Why   string
 }
 
-// Verdicts returns how far a gateway trusts each kind of its own state, by whether the age of the state is known. It makes no
+// Verdicts returns how far a gateway trusts each kind of its own state, which depends on whether the age of the state is known. It makes no
 // difference whether the workers have lost power as well: the list gives the start of each worker, and what was known of a worker
 // before its last start is dropped when the list is applied.
 func Verdicts(ageKnown bool) []Verdict {
 	rules := []struct {
 		kind              Kind
-		known, unknown    Trust  // by whether the age is known
+		known, unknown    Trust  // if the age of the state is known, and if not
 		reason, ifUnknown string // ifUnknown is the reason for an unknown age, where it differs
 	}{
 		{Incarnations, Kept, Kept, "an incarnation number is never used twice", ""},
@@ -125,7 +125,7 @@
 	return s.Roster.Check()
 }
 
-// Dimensions are the numbers of classes and tenants in the settings. A module's memory made with others is not used.
+// Dimensions are the numbers of classes and tenants in the settings. A module's memory that was made with other numbers is not used.
 type Dimensions struct {
 	Classes, Tenants int
 }
@@ -160,8 +160,8 @@
 	return Verdicts(known)
 }
 
-// shiftTimes adds by to every time of a memory. Zero, which means no time, stays. Times that
-// can only be in the past are limited to now.
+// shiftTimes adds the duration by to every time in a module's memory. Zero means no time and stays. Times that can only be in the
+// past are limited to now.
 func shiftTimes(m *decide.Snapshot, by, now time.Duration) {
 	shiftPast := func(times ...*time.Duration) {
 		for _, t := range times {
--- a/internal/fleet/recovery.go
+++ b/internal/fleet/recovery.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	formerRateDecay   = 0.995                  // part of the former rate that is kept after each second in which less was served
+	formerRateDecay   = 0.995                  // factor applied to the former rate after each second in which less was served
 	refusalRetryAfter = 200 * time.Millisecond // after which clients that are not admitted should retry
 )
 
@@ -29,7 +29,7 @@
 	host          *Host
 	gateway       Gateway
 	settings      *Settings
-	limits        recover.Dimensions
+	dimensions    recover.Dimensions
 	classWorth    []float64    // indexed by class
 	stateFileBans []roster.Ban // bans from the gateway's state file
 
@@ -43,7 +43,7 @@
 	begun      bool    // the gateway has received its initial state
 
 	workers        map[string]core.Member // the worker list by name, to be saved
-	held           map[string]uint64      // workers held back, with the event number of the list that has them draining
+	held           map[string]uint64      // workers held back, with the event number of the peer's list that shows them as draining
 	foundFunctions []string               // functions found to be loaded, not broadcast yet
 	copies         []LoadedCopy           // copies found to be loaded, as of the last save
 	broadcastAt    time.Duration
@@ -52,10 +52,10 @@
 
 // NewRecovery returns the part. classWorth is the worth of each class. stateFileBans are the bans of the gateway's state file;
 // bans that the fleet knows take precedence over them.
-func NewRecovery(h *Host, gateway Gateway, settings *Settings, limits recover.Dimensions, classWorth []float64,
+func NewRecovery(h *Host, gateway Gateway, settings *Settings, dimensions recover.Dimensions, classWorth []float64,
 	stateFileBans []roster.Ban) *Recovery {
-	return &Recovery{host: h, gateway: gateway, settings: settings, limits: limits, classWorth: classWorth, stateFileBans: stateFileBans,
-		phases: recover.NewPhaseTracker(h.Now()), bans: recover.BanRecords{}, peerState: recover.NewPeerState(),
+	return &Recovery{host: h, gateway: gateway, settings: settings, dimensions: dimensions, classWorth: classWorth,
+		stateFileBans: stateFileBans, phases: recover.NewPhaseTracker(h.Now()), bans: recover.BanRecords{}, peerState: recover.NewPeerState(),
 		workers: map[string]core.Member{}, held: map[string]uint64{}}
 }
 
@@ -87,7 +87,7 @@
 	c.endPhase(recover.Reading, without)
 	if s := c.saved; s != nil {
 		if !TrustAll {
-			for _, v := range s.Restore(c.host.Stamp(), c.limits) {
+			for _, v := range s.Restore(c.host.Stamp(), c.dimensions) {
 				c.host.Log().Debug("state", zap.String("kind", string(v.Kind)), zap.Stringer("trust", v.Trust), zap.String("why", v.Why))
 			}
 		}
@@ -130,8 +130,8 @@
 	}
 	initial.Roster.Bans = nil
 	for _, id := range slices.Sorted(maps.Keys(c.bans)) {
-		if k := c.bans[id]; k.Banned {
-			initial.Roster.Bans = append(initial.Roster.Bans, roster.Ban{ID: id, Since: k.Since})
+		if record := c.bans[id]; record.Banned {
+			initial.Roster.Bans = append(initial.Roster.Bans, roster.Ban{ID: id, Since: record.Since})
 		}
 	}
 	listed := map[string]time.Duration{}
@@ -143,9 +143,9 @@
 			initial.Roster.Cold = append(initial.Roster.Cold, roster.ColdWorker{ID: id, Listed: since, Since: at})
 		}
 	}
-	for fn, at := range c.peerState.LoadedCopies {
-		for w, t := range at {
-			initial.Copies = append(initial.Copies, LoadedCopy{fn, w, t})
+	for fn, foundAt := range c.peerState.LoadedCopies {
+		for worker, at := range foundAt {
+			initial.Copies = append(initial.Copies, LoadedCopy{fn, worker, at})
 		}
 	}
 	if c.formerRate == 0 && c.peerState.Answers > 0 {
@@ -193,11 +193,11 @@
 // endPhase ends phase p, if it is the present one, and reports whether it was. without names what the gateway has to do without,
 // "" if nothing is missing.
 func (c *Recovery) endPhase(p recover.Phase, without string) bool {
-	before := c.phases.Since()
+	phaseStart := c.phases.Since()
 	if !c.phases.Complete(c.host.Now(), p, without) {
 		return false
 	}
-	fields := []zap.Field{zap.Stringer("phase", c.phases.Phase()), zap.Duration("after", c.host.Now()-before)}
+	fields := []zap.Field{zap.Stringer("phase", c.phases.Phase()), zap.Duration("after", c.host.Now()-phaseStart)}
 	if without != "" {
 		c.host.Log().Warn("coming back", append(fields, zap.String("without", without))...)
 	} else {
@@ -226,7 +226,8 @@
 	report("unsaid", c.unsent)
 }
 
-// Save returns the present state, encoded later. Before clients are admitted nothing is saved, so that the former state is kept.
+// Save returns the present state, encoded later. Before clients are admitted nothing is saved, so that the former state
+// stays on disk.
 func (c *Recovery) Save() func() ([]byte, error) {
 	if !c.begun {
 		return nil
--- a/internal/fleet/renumber.go
+++ b/internal/fleet/renumber.go
@@ -41,8 +41,8 @@
 func (*renumbering) Name() string { return partIncarnation }
 
 // MemberChanged notifies a process that is alive if its incarnation is earlier than one observed before.
-func (r *renumbering) MemberChanged(e member.Event, what member.Transition) {
-	if what != member.Stale || e.State >= member.Suspected || r.n.transport == nil {
+func (r *renumbering) MemberChanged(e member.Event, transition member.Transition) {
+	if transition != member.Stale || e.State >= member.Suspected || r.n.transport == nil {
 		return
 	}
 	body, err := msgpack.Marshal(&laterKnown{Current: e.Metadata.Incarnation, Higher: r.n.view.LatestIncarnation(e.Metadata.Name)})
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -100,27 +100,27 @@
 	c.updateHeld()
 }
 
-// broadcastFoundFunctions sends the functions found to be loaded during recovery to all gateways, so that each needs
+// broadcastFoundFunctions sends the functions found to be loaded during recovery to all gateways, so that each function needs
 // only one first load in the whole fleet.
 func (c *Recovery) broadcastFoundFunctions() {
 	if len(c.foundFunctions) == 0 || !c.host.MayAct() {
 		return
 	}
-	k := min(maxFoundFunctions, len(c.foundFunctions))
-	if b, err := msgpack.Marshal(&report{Functions: c.foundFunctions[:k]}); err != nil || !c.host.Broadcast(b) {
+	count := min(maxFoundFunctions, len(c.foundFunctions))
+	if b, err := msgpack.Marshal(&report{Functions: c.foundFunctions[:count]}); err != nil || !c.host.Broadcast(b) {
 		c.unsent++
 	}
-	c.foundFunctions = append([]string(nil), c.foundFunctions[k:]...)
+	c.foundFunctions = append([]string(nil), c.foundFunctions[count:]...)
 }
 
-// BroadcastBan sends to all gateways that an operator has banned a worker here, or ended its ban.
+// BroadcastBan notifies all gateways that an operator has banned a worker here, or ended its ban.
 func (c *Recovery) BroadcastBan(id string, banned bool, since time.Duration) {
-	if k, known := c.bans[id]; known && k.Banned == banned {
+	if old, known := c.bans[id]; known && old.Banned == banned {
 		return
 	}
-	k := c.bans.Set(id, banned, since)
+	record := c.bans.Set(id, banned, since)
 	c.host.SaveSoon()
-	b, err := msgpack.Marshal(&report{Bans: recover.BanRecords{id: k}})
+	b, err := msgpack.Marshal(&report{Bans: recover.BanRecords{id: record}})
 	if err != nil {
 		c.unsent++
 		return
@@ -131,8 +131,8 @@
 }
 
 // applyBans applies bans, and ends of bans, from other gateways.
-func (c *Recovery) applyBans(m recover.BanRecords) {
-	newer, refused := c.bans.Merge(m)
+func (c *Recovery) applyBans(records recover.BanRecords) {
+	newer, refused := c.bans.Merge(records)
 	if refused > 0 {
 		c.unsent += refused
 		c.host.Log().Warn("bans of other gateways exceed the limit", zap.Int("refused", refused))
@@ -141,8 +141,8 @@
 		return
 	}
 	for _, id := range newer {
-		if k := c.bans[id]; k.Banned {
-			c.gateway.Ban(roster.Ban{ID: id, Since: k.Since})
+		if record := c.bans[id]; record.Banned {
+			c.gateway.Ban(roster.Ban{ID: id, Since: record.Since})
 		} else {
 			c.gateway.Unban(id)
 		}
@@ -170,7 +170,7 @@
 	c.updateHeld()
 }
 
-// updateHeld holds back the workers that peers list as draining, by a newer list than this gateway's.
+// updateHeld holds back the workers that are draining according to a peer's list newer than this gateway's.
 func (c *Recovery) updateHeld() {
 	if !c.begun {
 		return
--- a/internal/fleet/settings.go
+++ b/internal/fleet/settings.go
@@ -20,7 +20,7 @@
 	Enabled    bool              `toml:"enabled"`
 	Fleet      string            `toml:"fleet"`       // name of the fleet
 	Bind       string            `toml:"bind"`        // host:port at which this gateway receives datagrams and connections from others
-	Seeds      []string          `toml:"seeds"`       // host:port of gateways to contact at first; one that answers is enough
+	Seeds      []string          `toml:"seeds"`       // host:port of gateways to contact first; one that answers is enough
 	Dir        string            `toml:"dir"`         // folder of the state that has to survive a power loss
 	Via        map[string]string `toml:"via"`         // maps the address that a gateway announces to the one where it is reached
 	FirstLoads int               `toml:"first_loads"` // first loads that the store of models can serve at once for a whole recovering fleet
@@ -35,7 +35,7 @@
 	ColdFor  time.Duration `toml:"-"`
 }
 
-// Agreement says which gateways vote on and store the log of what the fleet has agreed.
+// Agreement states which gateways vote on and store the log of what the fleet has agreed.
 type Agreement struct {
 	Enabled       bool     `toml:"enabled"`
 	Voters        []string `toml:"voters"`          // the first voters: 1, 3 or 5 gateways
--- a/internal/fleet/site/site.go
+++ b/internal/fleet/site/site.go
@@ -1,5 +1,6 @@
 // Package site decides at which sites a call may run. It implements restrictions of calls to sites, sessions that stay at one site,
-// and epochs, in each of which all gateways regard the same sites as up. It is pure. A site is a hall, given by its name.
+// and epochs, in each of which all gateways regard the same sites as up. It does no I/O. A site is
+// a hall, given by its name.
 package site
 
 import (
--- a/internal/fleet/store/bolt.go
+++ b/internal/fleet/store/bolt.go
@@ -14,7 +14,7 @@
 	berrors "go.etcd.io/bbolt/errors"
 )
 
-// rewriteFile writes the sealed entries whose keys are in good into a new file and replaces the old file by it. If that fails,
+// rewriteFile writes the sealed entries whose keys are in good into a new file and replaces the old file with it. If that fails,
 // the old file stays in use.
 func rewriteFile(path string, old *bolt, good, sealed map[string][]byte) (*bolt, error) {
 	os.Remove(path + ".new")
--- a/internal/fleet/store/commit.go
+++ b/internal/fleet/store/commit.go
@@ -50,7 +50,7 @@
 }
 
 // commit writes all pending groups and entries with one sync. When the write fails, everything is queued again, except entries
-// that a newer one of their key has replaced. Entries that can't be encoded are dropped, since another attempt would fail too.
+// for whose key a newer one has been queued meanwhile. Entries that can't be encoded are dropped, since another attempt would fail too.
 func (s *Store) commit() error {
 	s.mu.Lock()
 	work := s.pending
--- a/internal/fleet/store/group_test.go
+++ b/internal/fleet/store/group_test.go
@@ -45,7 +45,8 @@
 
 // While the disk is full, groups keep their order and no callback is called; groups beyond the limit are refused with ErrFull.
 func TestFullDiskKeepsGroupOrderAndBound(t *testing.T) {
-	d := &blockingDisk{fail: errors.New("no space left"), gate: make(chan struct{}), wrote: map[string][]byte{}, writes: make(chan struct{}, 9000)}
+	d := &blockingDisk{fail: errors.New("no space left"), gate: make(chan struct{}), wrote: map[string][]byte{},
+		writes: make(chan struct{}, 9000)}
 	s := newStore(d)
 	s.retry = time.Millisecond
 	called, over := []string{}, make(chan bool)
--- a/internal/lifecycle/agreement.go
+++ b/internal/lifecycle/agreement.go
@@ -21,8 +21,8 @@
 // Version is the version of the program that gateways of a fleet compare. The program sets it before it starts a gateway.
 var Version = "unknown"
 
-// Clock is the clock that Serve gives to the gateway. Middleware, unless nil, wraps the taker that the fronts pass their calls to.
-// Only tests set them, to have a wrong clock or a version that misbehaves, and only before a gateway starts.
+// Clock is the clock that Serve gives to the gateway. Middleware, unless nil, wraps the handler to which the fronts pass their calls.
+// Only tests set them, to simulate a wrong clock or a version that misbehaves, and only before a gateway starts.
 var (
 	Clock      = core.NewSteadyClock(core.SystemReading).Now
 	Middleware func(httpfront.Core) httpfront.Core
@@ -36,10 +36,11 @@
 	}
 	options := agreement.Options{Name: conf.Name, Hall: nameAt(conf.Site.Zones, conf.Site.Decide.Zone), Halls: conf.Site.Zones,
 		Classes: conf.Site.Classes, Tenants: conf.Site.Tenants, TargetVoters: settings.Agree.VoterCount,
-		ReplaceAfter: time.Duration(settings.Agree.ReplaceAfterS * float64(time.Second)), HallLostAfter: time.Duration(settings.Site.LostAfterS * float64(time.Second)),
-		Limits:  settings.Change,
-		Rules:   replog.Rules{ClockBoundMs: settings.Freeze.ClockBoundMs, FreezeAheadMs: int64(settings.Freeze.AheadS * 1000)},
-		ColdFor: conf.Site.Decide.ColdFor, Session: settings.Site.Session, Version: Version, Config: conf.Revision,
+		ReplaceAfter:  time.Duration(settings.Agree.ReplaceAfterS * float64(time.Second)),
+		HallLostAfter: time.Duration(settings.Site.LostAfterS * float64(time.Second)),
+		Limits:        settings.Change,
+		Rules:         replog.Rules{ClockBoundMs: settings.Freeze.ClockBoundMs, FreezeAheadMs: int64(settings.Freeze.AheadS * 1000)},
+		ColdFor:       conf.Site.Decide.ColdFor, Session: settings.Site.Session, Version: Version, Config: conf.Revision,
 		OwnRestrictions: configuredRestrictions(settings)}
 	if settings.Agree.Enabled {
 		options.InitialVoters = settings.Agree.Voters
@@ -201,12 +202,12 @@
 
 // writeAgreementMetrics reports how many configurations freezes have deferred so far, and whether one is pending (0 or 1).
 func (g *Gateway) writeAgreementMetrics(gauge func(string, int)) {
-	waits := 0
+	pending := 0
 	if g.pendingConfig != nil {
-		waits = 1
+		pending = 1
 	}
 	gauge("fleet.agreed.config_kept", int(g.deferredConfigs))
-	gauge("fleet.agreed.config_waits", waits)
+	gauge("fleet.agreed.config_waits", pending)
 }
 
 // errNoAgreement answers operator calls that need the agreement part where it is not enabled.
--- a/internal/lifecycle/budget_test.go
+++ b/internal/lifecycle/budget_test.go
@@ -129,8 +129,8 @@
 		for _, n := range checker.written {
 			repeats += max(0, n-1)
 		}
-		for _, s := range clients {
-			if got := s.Take(); !s.done && strings.Count(got, "HTTP/1.1 ") != 1 {
+		for _, client := range clients {
+			if got := client.Take(); !client.done && strings.Count(got, "HTTP/1.1 ") != 1 {
 				notAnsweredOnce++
 			}
 		}
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -38,11 +38,11 @@
 	updateCore := func(whole bool, members []core.Member) { g.core.ApplyList(whole, members) }
 	updateAll := updateCore
 	if conf.Extensions.Enabled && conf.Extensions.Workers.Broker != "" {
-		opt, replies, list, err := conf.Extensions.workerOptions(conf.Name, conf.Site)
+		options, replies, list, err := conf.Extensions.workerOptions(conf.Name, conf.Site)
 		if err != nil {
 			return err
 		}
-		g.mqttLink = mqtt.NewLink(loop, net, opt, replies, list, conf.Seed, updateCore, log.Named("mqtt.workers"))
+		g.mqttLink = mqtt.NewLink(loop, net, options, replies, list, conf.Seed, updateCore, log.Named("mqtt.workers"))
 		router := &workerRouter{Pool: g.pool, mqtt: g.mqttLink}
 		workers, updateAll = router, router.addMQTTMembers(updateCore)
 	}
@@ -67,16 +67,16 @@
 	if g.mqttLink != nil {
 		g.mqttLink.Serve(g.core)
 	}
-	g.taker = g.core
+	g.callHandler = g.core
 	if g.recovers || g.agreement != nil {
-		g.taker = &admissionGate{g.core, g}
+		g.callHandler = &admissionGate{g.core, g}
 	}
 	if Middleware != nil {
-		g.taker = Middleware(g.taker)
+		g.callHandler = Middleware(g.callHandler)
 	}
 	if conf.Extensions.Enabled && conf.Extensions.Calls.Broker != "" {
 		options, keepAnswers := conf.Extensions.callOptions(conf.Name)
-		g.mqttFront = mqtt.NewFront(loop, net, g.taker, conf.Site, options, keepAnswers, conf.Seed, observe, log.Named("mqtt.calls"))
+		g.mqttFront = mqtt.NewFront(loop, net, g.callHandler, conf.Site, options, keepAnswers, conf.Seed, observe, log.Named("mqtt.calls"))
 	}
 	if g.node != nil {
 		inner := updateAll
@@ -115,7 +115,7 @@
 	if g.upgrade == nil || g.upgrade.predecessor == nil {
 		g.connectBrokers()
 	}
-	g.front.Serve(g.taker)
+	g.front.Serve(g.callHandler)
 	g.log.Info("ready", zap.String("listen", g.net.Addr()), zap.Uint64("event", g.feed.Last()))
 	if g.upgrade != nil {
 		g.upgrade.start()
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -37,8 +37,8 @@
 	Revision    string          // as the file names it, or else a short hash of the file's text
 }
 
-// clientSockets returns how many client connections are held at most: the third of all sockets that the platform grants to clients,
-// and 8 for connections that are being closed.
+// clientSockets returns how many client connections are held at most: a third of all sockets, which the platform grants to clients,
+// and 8 more for connections that are being closed.
 func (c *Config) clientSockets() int { return c.Sockets/3 + 8 }
 
 // reservedSockets returns how many descriptors are reserved for the process itself and for operators.
--- a/internal/lifecycle/connections_test.go
+++ b/internal/lifecycle/connections_test.go
@@ -21,14 +21,14 @@
 // the test ends.
 func startOnSockets(t *testing.T, sockets int, w *workerStub) *Gateway {
 	t.Helper()
-	far, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 64, Accepted: 64}, func(c sock.Conn) sock.Handler {
+	stubServer, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 64, Accepted: 64}, func(c sock.Conn) sock.Handler {
 		return &workerStub{c, w.release, w.received}
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(far.Stop)
-	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", far.Addr(), "%WORKER%", far.Addr(), `"sockets":1024`,
+	t.Cleanup(stubServer.Stop)
+	c, err := ParseConfig([]byte(strings.NewReplacer("%BULLETIN%", stubServer.Addr(), "%WORKER%", stubServer.Addr(), `"sockets":1024`,
 		fmt.Sprintf(`"sockets":%d`, sockets)).Replace(configText)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lifecycle/drain_test.go
+++ b/internal/lifecycle/drain_test.go
@@ -168,7 +168,7 @@
 		g.loop.Post(func() { got <- g.core.InFlight() })
 		open = <-got
 	}
-	pass := func(d time.Duration) {
+	advance := func(d time.Duration) {
 		mu.Lock()
 		now += d
 		mu.Unlock()
@@ -187,12 +187,12 @@
 				t.Error("gateway is ready although it is drained")
 			}
 		})
-		pass(0)
+		advance(0)
 	}
 	g.loop.Post(g.drain)
-	pass(0)
-	pass(callWindow)
-	pass(time.Second) // the call is still in flight: the process must not end
+	advance(0)
+	advance(callWindow)
+	advance(time.Second) // the call is still in flight: the process must not end
 	select {
 	case <-ended:
 		t.Fatal("gateway ended with a call in flight")
@@ -203,7 +203,7 @@
 		t.Errorf("second call: %s", got)
 	}
 	for {
-		pass(flushDelay)
+		advance(flushDelay)
 		select {
 		case <-ended:
 			return
--- a/internal/lifecycle/extensions.go
+++ b/internal/lifecycle/extensions.go
@@ -175,7 +175,7 @@
 	r.workersFor(host).Load(ref, host, function, copies)
 }
 
-// WithdrawUnwritten withdraws calls that are not written yet, on both links.
+// WithdrawUnwritten withdraws, on both links, the calls that are not written yet.
 func (r *workerRouter) WithdrawUnwritten(mayGet func(string) bool) {
 	r.Pool.WithdrawUnwritten(mayGet)
 	r.mqtt.WithdrawUnwritten(mayGet)
--- a/internal/lifecycle/fleet.go
+++ b/internal/lifecycle/fleet.go
@@ -28,50 +28,50 @@
 	}
 	settings, decideConf := *conf.Fleet, conf.Site.Decide
 	settings.ColdFrom, settings.ColdFor = decideConf.ColdFrom, decideConf.ColdFor
-	var worth []float64
+	var classWorth []float64
 	for _, k := range decideConf.Classes {
-		worth = append(worth, k.Worth)
+		classWorth = append(classWorth, k.Worth)
 	}
-	limits := recover.Dimensions{Classes: len(decideConf.Classes), Tenants: len(decideConf.Tenants)}
+	dimensions := recover.Dimensions{Classes: len(decideConf.Classes), Tenants: len(decideConf.Tenants)}
 	g.node = fleet.New(g.loop, &settings, conf.Name, decideConf.Zone, g.log.Named("fleet"))
 	g.node.Add(func(h *fleet.Host) fleet.Part {
-		g.recovery = fleet.NewRecovery(h, (*fleetGateway)(g), &settings, limits, worth, savedBans)
+		g.recovery = fleet.NewRecovery(h, (*fleetGateway)(g), &settings, dimensions, classWorth, savedBans)
 		return g.recovery
 	})
 	g.addAgreement(conf)
 }
 
-// joinFleet makes the gateway a member of the fleet. serves states that this process serves already, having taken over from another.
+// joinFleet makes the gateway a member of the fleet. serves is true if this process serves already, having taken over from another.
 func (g *Gateway) joinFleet(serves bool) {
 	g.recovery.Start(serves)
 	g.node.Start()
 }
 
 // Begin builds the gateway from the recovered state. If the gateway serves already it only adopts the bans.
-func (f *fleetGateway) Begin(b fleet.InitialState) error {
+func (f *fleetGateway) Begin(initial fleet.InitialState) error {
 	gateway := (*Gateway)(f)
 	if gateway.core != nil {
-		for _, ban := range b.Roster.Bans {
+		for _, ban := range initial.Roster.Bans {
 			gateway.core.Adopt(ban)
 		}
 		return nil
 	}
 	conf := *gateway.conf
-	if b.List != nil {
-		conf.KnownEvents, conf.LastEvent = []bulletin.Event{{No: b.ListEvent, Complete: true, Members: b.List}}, b.ListEvent
+	if initial.List != nil {
+		conf.KnownEvents, conf.LastEvent = []bulletin.Event{{No: initial.ListEvent, Complete: true, Members: initial.List}}, initial.ListEvent
 	}
-	if err := gateway.build(&conf, handover.State{Roster: b.Roster, Module: b.Module}); err != nil {
+	if err := gateway.build(&conf, handover.State{Roster: initial.Roster, Module: initial.Module}); err != nil {
 		return err
 	}
-	if memory := gateway.core.Remember(); len(b.Copies) > 0 {
+	if memory := gateway.core.Remember(); len(initial.Copies) > 0 {
 		since := map[string]time.Duration{}
 		for _, e := range conf.KnownEvents {
 			for _, w := range e.Members {
 				since[w.Name] = w.Since
 			}
 		}
-		for _, s := range b.Copies {
-			memory.AddCopy(s.Function, s.Worker, since[s.Worker], s.ProvenAt)
+		for _, loaded := range initial.Copies {
+			memory.AddCopy(loaded.Function, loaded.Worker, since[loaded.Worker], loaded.ProvenAt)
 		}
 		if err := gateway.core.Recall(memory); err != nil {
 			gateway.log.Warn("loaded copies reported by other gateways could not be used", zap.Error(err))
@@ -99,7 +99,7 @@
 	return f.feed.Last()
 }
 
-// Ban applies a ban that an operator has laid at another gateway.
+// Ban applies a ban that an operator has imposed at another gateway.
 func (f *fleetGateway) Ban(b roster.Ban) { f.core.Adopt(b); f.saveState() }
 
 // Unban lifts a ban that an operator has lifted at another gateway.
@@ -115,15 +115,15 @@
 	}
 }
 
-// Hold excludes workers from selection that other gateways report as draining.
+// Hold excludes from selection the workers that other gateways report as draining.
 func (f *fleetGateway) Hold(ids map[string]bool) { f.core.SetDraining(ids) }
 
-// AssumeRate makes the module judge cold workers by the rate that was served before, in calls per second, and bounds the loads in
-// flight (0 for no bound).
+// AssumeRate makes the module assess cold workers by the rate of calls per second that was served before the start (0 for none), and
+// limits the loads in flight (0 for no limit).
 func (f *fleetGateway) AssumeRate(perSec float64, loads int) { f.core.AssumeRate(perSec, loads) }
 
-// admissionGate is the taker of the fronts in a fleet. It refuses calls that recovery does not admit yet, and limits calls to the sites
-// that restrictions allow.
+// admissionGate is the handler of the fronts' calls in a fleet. It refuses calls that recovery does not admit yet, and limits calls to
+// the sites that restrictions allow.
 type admissionGate struct {
 	*core.Core
 	gateway *Gateway
--- a/internal/lifecycle/handover/saver_test.go
+++ b/internal/lifecycle/handover/saver_test.go
@@ -11,9 +11,9 @@
 // Save. A newer state that arrives meanwhile is written instead.
 func TestSaverRetriesFailedWrite(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	savedBans := func(pause time.Duration, newer int) int {
+	savedBans := func(retryDelay time.Duration, newer int) int {
 		failures := make(chan error)
-		s := newSaver(dir, pause, func(err error) { failures <- err })
+		s := newSaver(dir, retryDelay, func(err error) { failures <- err })
 		s.Save(testState(3))
 		<-failures
 		if newer > 0 {
--- a/internal/lifecycle/handover/state.go
+++ b/internal/lifecycle/handover/state.go
@@ -1,5 +1,5 @@
-// Package handover passes the listening socket and the state that must survive from one process of a gateway to its
-// successor, during an upgrade under load. State also survives a restart, in a file.
+// Package handover passes the listening socket, and the state that must not be lost, from one process of a gateway to its
+// successor, during an upgrade under load. It also stores state in a file, for a restart without a predecessor.
 package handover
 
 import (
@@ -126,18 +126,18 @@
 // state by then, until a write succeeds or the Saver is closed.
 func NewSaver(dir string, failed func(error)) *Saver { return newSaver(dir, saveRetryDelay, failed) }
 
-func newSaver(dir string, pause time.Duration, failed func(error)) *Saver {
+func newSaver(dir string, retryDelay time.Duration, failed func(error)) *Saver {
 	s := &Saver{next: make(chan State, 1), done: make(chan struct{})}
 	go func() {
 		defer close(s.done)
 		for state := range s.next {
-			s.write(dir, state, pause, failed)
+			s.write(dir, state, retryDelay, failed)
 		}
 	}()
 	return s
 }
 
-func (s *Saver) write(dir string, state State, pause time.Duration, failed func(error)) {
+func (s *Saver) write(dir string, state State, retryDelay time.Duration, failed func(error)) {
 	for {
 		err := Save(dir, state)
 		if err == nil {
@@ -150,7 +150,7 @@
 				return
 			}
 			state = newer
-		case <-time.After(pause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -30,16 +30,16 @@
 func TestInvalidConfigurationIsRejected(t *testing.T) {
 	good := strings.NewReplacer("%BULLETIN%", "127.0.0.1:1", "%WORKER%", "127.0.0.1:2").Replace(configText)
 	dir := t.TempDir()
-	side := filepath.Join(dir, "mqtt.toml")
+	mqttPath := filepath.Join(dir, "mqtt.toml")
 	read := func(conf, mqtt string) error {
 		path := filepath.Join(dir, "config.json")
-		for file, content := range map[string]string{path: conf, side: mqtt} {
+		for file, content := range map[string]string{path: conf, mqttPath: mqtt} {
 			if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 		t.Setenv("NODE_CONFIG", path)
-		_, err := FromEnv(side, "none")
+		_, err := FromEnv(mqttPath, "none")
 		return err
 	}
 	if err := read(good, "enabled = false"); err != nil {
@@ -66,7 +66,7 @@
 		}
 	}
 	t.Setenv("NODE_CONFIG", filepath.Join(dir, "none"))
-	if _, err := FromEnv(side, "none"); err == nil {
+	if _, err := FromEnv(mqttPath, "none"); err == nil {
 		t.Error("a configuration file that does not exist gave no error")
 	}
 }
--- a/internal/lifecycle/metrics.go
+++ b/internal/lifecycle/metrics.go
@@ -11,23 +11,23 @@
 // Metrics returns the gateway's metrics as text in the statsd format, a line each.
 func (a *operatorAPI) Metrics() string {
 	var b strings.Builder
-	var f core.Metrics
+	var metrics core.Metrics
 	if a.core != nil {
-		f = a.core.Metrics()
+		metrics = a.core.Metrics()
 	}
 	count := func(name string, n uint64) { fmt.Fprintf(&b, "svc.%s:%d|c\n", name, n) }
 	gauge := func(name string, n int) { fmt.Fprintf(&b, "svc.%s:%d|g\n", name, n) }
-	for i, c := range f.Classes {
+	for i, c := range metrics.Classes {
 		class := "responses." + a.conf.Site.Classes[i] + "."
 		count(class+"ok", c.OK)
 		count(class+"shed", c.Shed)
 		count(class+"errors", c.Errors)
 	}
-	count("tries", f.Attempts)
+	count("tries", metrics.Attempts)
 	a.writeAttemptMetrics(count)
-	gauge("active", f.Active)
-	gauge("pool_size", f.PoolSize)
-	gauge("pool_ejected", f.PoolEjected)
+	gauge("active", metrics.Active)
+	gauge("pool_size", metrics.PoolSize)
+	gauge("pool_ejected", metrics.PoolEjected)
 	count("config_applied", a.applied)
 	count("config_rejected", a.rejected)
 	if a.node != nil {
@@ -41,11 +41,11 @@
 	if a.core == nil {
 		return
 	}
-	trace := a.core.OutcomeCounts()
-	for outcome, n := range trace.Attempts {
+	outcomes := a.core.OutcomeCounts()
+	for outcome, n := range outcomes.Attempts {
 		count("attempts."+decide.Outcome(outcome).String(), n)
 	}
 	for why := decide.OverShare; why < decide.ReasonCount; why++ {
-		count("given_up."+why.String(), trace.GivenUp[why])
+		count("given_up."+why.String(), outcomes.GivenUp[why])
 	}
 }
--- a/internal/lifecycle/never_twice_test.go
+++ b/internal/lifecycle/never_twice_test.go
@@ -136,17 +136,17 @@
 	front, gatewayCore, list := sim.startGateway(site, seed, world, nil)
 	var clients []*testClient
 	tries := 0
-	try := func(s *testClient) {
+	try := func(client *testClient) {
 		tries++
-		s.Conn, _ = world.Pair(s, func(c *wiretest.Conn) sock.Handler { return front.Accept(c) })
-		class := map[byte]string{'r': "read", 'c': "command", 'o': "once"}[s.body[0]]
-		fmt.Fprintf(s, "POST /do/%016x/call HTTP/1.1\r\nHost: x\r\nX-Class: %s\r\nReq-Id: %016x\r\nReq-Wait-Ms: 2000\r\nReq-Owner: a\r\n"+
-			"Req-Token: %s\r\nContent-Length: %d\r\n\r\n%s", sim.rng.IntN(5), class, tries, s.body, len(s.body), s.body)
+		client.Conn, _ = world.Pair(client, func(c *wiretest.Conn) sock.Handler { return front.Accept(c) })
+		class := map[byte]string{'r': "read", 'c': "command", 'o': "once"}[client.body[0]]
+		fmt.Fprintf(client, "POST /do/%016x/call HTTP/1.1\r\nHost: x\r\nX-Class: %s\r\nReq-Id: %016x\r\nReq-Wait-Ms: 2000\r\nReq-Owner: a\r\n"+
+			"Req-Token: %s\r\nContent-Length: %d\r\n\r\n%s", sim.rng.IntN(5), class, tries, client.body, len(client.body), client.body)
 	}
 	for n := range 400 {
-		s := &testClient{body: fmt.Sprint(string("rcoo"[sim.rng.IntN(4)]), n)}
-		clients = append(clients, s)
-		try(s)
+		client := &testClient{body: fmt.Sprint(string("rcoo"[sim.rng.IntN(4)]), n)}
+		clients = append(clients, client)
+		try(client)
 		switch k := sim.rng.IntN(60); {
 		case k == 0: // a worker's connections break
 			for _, c := range sim.conns[fmt.Sprint("w", sim.rng.IntN(6))] {
@@ -157,27 +157,27 @@
 			m.State = []decide.HostState{decide.Ready, decide.Draining, decide.Gone}[sim.rng.IntN(3)]
 			gatewayCore.ApplyList(false, []core.Member{m})
 		case k == 4: // a client leaves
-			s.done = true
+			client.done = true
 			world.Run()
-			s.Close()
+			client.Close()
 		}
 		world.Advance(time.Duration(sim.rng.IntN(30)) * time.Millisecond)
-		for _, s := range clients {
-			if got := s.Take(); !s.done && got != "" {
-				if s.answers++; strings.Count(got, "HTTP/1.1 ") != 1 {
+		for _, client := range clients {
+			if got := client.Take(); !client.done && got != "" {
+				if client.answers++; strings.Count(got, "HTTP/1.1 ") != 1 {
 					notAnsweredOnce++
 				}
-				if strings.HasPrefix(got, "HTTP/1.1 503") && s.answers < 3 {
-					try(s)
+				if strings.HasPrefix(got, "HTTP/1.1 503") && client.answers < 3 {
+					try(client)
 				} else {
-					s.done = true
+					client.done = true
 				}
 			}
 		}
 	}
 	world.Advance(5 * time.Second)
-	for _, s := range clients {
-		if got := s.Take(); !s.done && strings.Count(got, "HTTP/1.1 ") != 1 {
+	for _, client := range clients {
+		if got := client.Take(); !client.done && strings.Count(got, "HTTP/1.1 ") != 1 {
 			notAnsweredOnce++
 		}
 	}
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// requester returns the name that a call gives in its option by.
+// requester returns the name that a call gives in its option "by", or "an operator" if it gives none.
 func requester(call opfront.Call) string {
 	if name := call.Options["by"]; name != "" {
 		return name
@@ -88,7 +88,7 @@
 	g.agreement.RequestPermit(subject, holder, requester(call), call.Options["why"], except, false, done)
 }
 
-// exceptionID returns the number of the freeze exception that a call names in its option except, 0 if it names none.
+// exceptionID returns the number of the freeze exception that a call names in its option "except", 0 if it names none.
 func exceptionID(call opfront.Call) (id uint64, err error) {
 	if text := call.Options["except"]; text != "" {
 		if _, err := fmt.Sscanf(text, "%d", &id); err != nil {
@@ -98,8 +98,8 @@
 	return id, nil
 }
 
-// enableServer puts a worker back into service. If it is out by a permit, the permit is returned and all gateways use the worker again;
-// otherwise its ban is lifted.
+// enableServer puts a worker back into service. If it is out of service by a permit, the permit is returned and all gateways use
+// the worker again; otherwise its ban is lifted.
 func (a *operatorAPI) enableServer(call opfront.Call, done func(string, error)) {
 	g := (*Gateway)(a)
 	if g.requiresPermits() {
@@ -160,7 +160,7 @@
 // Disable bans a worker at this process, at the gateway's other process if there is one, and in the fleet.
 func (a *operatorAPI) Disable(id string) error { return a.changeBan(id, (*core.Core).Disable) }
 
-// Enable lifts the ban of a worker at all of these.
+// Enable lifts the ban of a worker at the same processes and in the fleet.
 func (a *operatorAPI) Enable(id string) error { return a.changeBan(id, (*core.Core).Enable) }
 
 func (a *operatorAPI) changeBan(id string, do func(*core.Core, string) error) error {
--- a/internal/lifecycle/serve.go
+++ b/internal/lifecycle/serve.go
@@ -34,14 +34,14 @@
 	flushDelay          = 100 * time.Millisecond // time for the last answers to leave the sockets
 	successorReadyWait  = 500 * time.Millisecond // how long SIGTERM waits for a successor to report that it is ready
 	heldAnswersDivisor  = 8                      // answers to clients that read slowly may take the memory limit divided by this
-	memoryLimitFraction = 0.6                    // part of the memory limit at which the Go runtime begins to collect garbage harder
+	memoryLimitFraction = 0.6                    // part of the memory limit at which the Go runtime begins to collect garbage more aggressively
 )
 
 // Gateway is a running gateway.
 type Gateway struct {
 	loop            *core.Loop
 	core            *core.Core
-	taker           httpfront.Core // the core, or a wrapper around it
+	callHandler     httpfront.Core // receives the calls of the fronts: the core, or a wrapper around it
 	net             *sock.Net
 	front           *httpfront.Front
 	pool            *workerlink.Pool
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -30,7 +30,7 @@
 		return
 	}
 	g.terminating = true
-	if g.core == nil { // startup has not come to serving calls
+	if g.core == nil { // the core is not built yet, so no call has been served
 		g.log.Info("stopping before the gateway served any call")
 		g.stop()
 		return
@@ -75,8 +75,8 @@
 	g.stop()
 }
 
-// stopAfterCalls is the same without a successor. It doesn't wait until clients disconnect: when all calls are answered and the answers
-// read, it closes the connections.
+// stopAfterCalls is the counterpart of stopAfterClients without a successor. It doesn't wait until clients disconnect: when all calls
+// are answered and the answers read, it closes the connections.
 func (g *Gateway) stopAfterCalls() {
 	if g.core.InFlight() > 0 || g.front.Unsent() > 0 || g.mqttFront != nil && g.mqttFront.Up() && g.mqttFront.Waiting() > 0 {
 		g.loop.After(10*time.Millisecond, g.stopAfterCalls)
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -12,7 +12,7 @@
 	"quillrail/internal/roster"
 )
 
-// offerTimeout is how long a new process waits for the event loop to return the state for it.
+// offerTimeout is how long Offer waits for the event loop to provide the state for a successor.
 const offerTimeout = 1500 * time.Millisecond
 
 // upgrade hands the gateway over between processes: from a predecessor to this process at its start, and later to a successor. It
@@ -211,7 +211,7 @@
 	})
 }
 
-// Ban applies a ban that an operator has laid at the other process.
+// Ban applies a ban that an operator has imposed at the other process.
 func (u *upgrade) Ban(b roster.Ban) {
 	u.gateway.loop.PostUrgent(func() {
 		u.gateway.core.Adopt(b)
