--- a/internal/app/logqueue.go
+++ b/internal/app/logqueue.go
@@ -27,8 +27,8 @@
 }
 
 // newLogQueue returns a queue that writes to out. Its goroutine runs until the process ends.
-func newLogQueue(out io.Writer, dropped func(lines int) []byte) *logQueue {
-	q := &logQueue{out: out, formatDropped: dropped, idle: make(chan struct{}), wake: make(chan struct{}, 1)}
+func newLogQueue(out io.Writer, formatDropped func(lines int) []byte) *logQueue {
+	q := &logQueue{out: out, formatDropped: formatDropped, idle: make(chan struct{}), wake: make(chan struct{}, 1)}
 	close(q.idle)
 	go q.run()
 	return q
--- a/internal/lifecycle/build.go
+++ b/internal/lifecycle/build.go
@@ -65,7 +65,7 @@
 	}
 	g.pool.SetReceiver(g.core)
 	if g.mqttLink != nil {
-		g.mqttLink.Serve(g.core)
+		g.mqttLink.SetReceiver(g.core)
 	}
 	g.callHandler = g.core
 	if g.recovers || g.agreement != nil {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -37,7 +37,7 @@
 	return b, err
 }
 
-// describeType says in words what values a setting of this type may have.
+// describeType returns a description of the values that a setting of this type may have.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Float64:
@@ -116,7 +116,7 @@
 func (b *bootInfo) check() error {
 	c := &checker{}
 	b.checkClasses(c)
-	b.checkPlaces(c)
+	b.checkTenantsAndZones(c)
 	contract := &b.Contract
 	c.inRange("contract.answer-slack-s", contract.AnswerSlack, 0, maxSeconds)
 	c.inRange("contract.drain-grace-s", contract.DrainGrace, 0, maxSeconds)
@@ -163,7 +163,7 @@
 	}
 }
 
-func (b *bootInfo) checkPlaces(c *checker) {
+func (b *bootInfo) checkTenantsAndZones(c *checker) {
 	c.uniqueNames("customers[%d].name", len(b.Customers), func(i int) string { return b.Customers[i].Name })
 	for i, tenant := range b.Customers {
 		c.inRange(fmt.Sprintf("customers[%d].share", i), tenant.Share, 0, 1)
--- a/internal/settings/report.go
+++ b/internal/settings/report.go
@@ -9,7 +9,7 @@
 	"quillrail/decide"
 )
 
-const maxReported = 1e6 // a larger value in a load report is taken for an error
+const maxReported = 1e6 // a larger value in a load report is taken for an error and counts as missing
 
 // reportFields maps the names of the values in load reports to their fields in the module's Report. Both the names that the
 // simulator uses and those in workers' answers are known. It is nil for values that the module doesn't use.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -121,7 +121,7 @@
 	for i, class := range b.Classes {
 		site.Classes = append(site.Classes, class.Name)
 		effect, effectOK := effects[class.Effect]
-		group, scopeOK := scopes[class.KeyScope]
+		scope, scopeOK := scopes[class.KeyScope]
 		if !effectOK {
 			return nil, &FieldError{fmt.Sprintf("classes[%d].effect", i), fmt.Sprintf("%q", class.Effect),
 				"idempotent, deduplicated or at_most_once"}
@@ -130,7 +130,7 @@
 			return nil, &FieldError{fmt.Sprintf("classes[%d].key-scope", i), fmt.Sprintf("%q", class.KeyScope), "all, zone or cell"}
 		}
 		s.Classes = append(s.Classes, decide.Class{Aim: seconds(class.Promise), Deadline: seconds(class.Deadline),
-			Worth: class.Credit, LateWorth: class.LateWorth, Effect: effect, KeyScope: group, Window: seconds(class.Window),
+			Worth: class.Credit, LateWorth: class.LateWorth, Effect: effect, KeyScope: scope, Window: seconds(class.Window),
 			Streaming: class.Streaming})
 	}
 	for _, tenant := range b.Customers {
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,5 +1,5 @@
-// Package transient tells temporary errors of system calls, such as a lack of memory or descriptors on this machine, from permanent
-// ones, and retries calls that failed with a temporary error.
+// Package transient distinguishes transient errors of system calls, such as a lack of memory or descriptors on this machine, from
+// permanent ones, and retries calls that failed with a transient error.
 package transient
 
 import (
--- a/internal/wire/bulletin/bulletin_test.go
+++ b/internal/wire/bulletin/bulletin_test.go
@@ -28,8 +28,8 @@
 	return binary.BigEndian.AppendUint64(b, 1_700_000_000_123)
 }
 
-// fixture is a bulletin played by the test, and a feed that follows it from event 4. On each connection the feed first sends the number of
-// its last event.
+// fixture is a bulletin simulated by the test, and a feed that follows it from event 4. On each connection the feed first sends the
+// number of its last event.
 type fixture struct {
 	*wiretest.World
 	peers         []*wiretest.Peer
--- a/internal/wire/bulletin/feed.go
+++ b/internal/wire/bulletin/feed.go
@@ -16,8 +16,8 @@
 const (
 	connectTimeout = 500 * time.Millisecond
 
-	// catchUpTime is how long after a connection was established all missed events have arrived: the bulletin sends them at once.
-	// Without missed events, the first frame may take a second.
+	// catchUpTime is the time after which a new connection has delivered all missed events, since the bulletin sends them at once. If no
+	// event was missed, the first frame may take a second, so its arrival is not waited for.
 	catchUpTime = 100 * time.Millisecond
 
 	// silenceTimeout is how long a connection may go without a frame. The bulletin sends at least one a second.
@@ -47,7 +47,7 @@
 	OnListCurrent func(asOf time.Duration)
 
 	lastEvent    uint64
-	dials        uint64    // number of dials so far, by which callbacks of earlier connections are recognized
+	dials        uint64    // number of dials so far; the number of a dial identifies its callbacks
 	dialNo       uint64    // dial of the current connection or connect, 0 for none
 	slow         *slowConn // earlier connection that may still receive frames, nil for none
 	conn         sock.Conn
--- a/internal/wire/bulletin/late_test.go
+++ b/internal/wire/bulletin/late_test.go
@@ -13,7 +13,7 @@
 	*fixture
 	delay       time.Duration
 	nextFrameAt map[*wiretest.Peer]time.Duration // when the next frame of a connection arrives
-	heartbeats  map[*wiretest.Peer]time.Duration // frames sent on a connection
+	heartbeats  map[*wiretest.Peer]time.Duration // number of frames sent on a connection
 }
 
 // passWithFrames lets time pass, and delivers each connection's frames when they are due.
@@ -34,8 +34,8 @@
 }
 
 // The time up to which the list is reported as complete is never later than when its frames were written, however late and regularly they
-// arrive. A bulletin that is delayed by seconds is still followed, and is reconnected to see whether the delay persists. The test guards
-// against taking frames for recent because they arrive: delayed frames look the same as others.
+// arrive. A bulletin that is delayed by seconds is still followed, and the feed reconnects at intervals in case the delay has ended. The
+// test guards against taking frames for recent because they arrive: delayed frames look the same as others.
 func TestListAgeIsNeverUnderestimated(t *testing.T) {
 	for _, delay := range []time.Duration{0, 300 * time.Millisecond, 3 * time.Second, 5 * time.Second, 9 * time.Second} {
 		l := &delayedFixture{newFixture(t), delay, map[*wiretest.Peer]time.Duration{}, map[*wiretest.Peer]time.Duration{}}
--- a/internal/wire/bulletin/log.go
+++ b/internal/wire/bulletin/log.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	lossLogInterval = 5 * time.Second // interval at which a continuing loss is logged
+	lossLogInterval = 5 * time.Second // interval at which a loss that continues is logged again
 	maxNamesLogged  = 16              // workers of each state that a log line names
 )
 
--- a/internal/wire/bulletin/slow.go
+++ b/internal/wire/bulletin/slow.go
@@ -8,7 +8,7 @@
 )
 
 // slowConnLifetime is how long a connection that has not received a frame yet stays open while further ones are tried. It exceeds
-// MaxPropagation: the events it waits for count as received by then, but may still be the first ones to arrive.
+// MaxPropagation: events count as received after that time, but this connection may still be the first on which they arrive.
 const slowConnLifetime = 10 * time.Second
 
 var errSilent = errors.New("silent")
--- a/internal/wire/httpfront/answer.go
+++ b/internal/wire/httpfront/answer.go
@@ -135,12 +135,12 @@
 }
 
 // Refused sends the client how long to wait before it tries again, and the reason if there is one.
-func (x *exchange) Refused(pause time.Duration, why string) {
+func (x *exchange) Refused(retryAfter time.Duration, why string) {
 	var body []byte
 	if why != "" {
 		body = []byte(why + "\n")
 	}
-	x.finish(503, fmt.Sprintf("Srv-Wait-Ms: %d\r\n", pause.Milliseconds()), body)
+	x.finish(503, fmt.Sprintf("Srv-Wait-Ms: %d\r\n", retryAfter.Milliseconds()), body)
 }
 
 // Failed answers a call without a result. The answer does not state whether the call has run.
@@ -156,7 +156,7 @@
 }
 
 // toCall reads a call from a request.
-func toCall(r *Request, set *settings.Site) (core.Call, error) {
+func toCall(r *Request, site *settings.Site) (core.Call, error) {
 	rest, hasPrefix := strings.CutPrefix(r.Path, "/do/")
 	name, hasSuffix := strings.CutSuffix(rest, "/call")
 	if !hasPrefix || !hasSuffix {
@@ -171,7 +171,7 @@
 	h := r.Header
 	call, err := form.Raw{Function: name, ID: h["req-id"], Class: h["x-class"], Tenant: h["req-owner"],
 		Key: h["req-token"], WaitMs: h["req-wait-ms"], CostMs: h["req-cost"], Tags: h["x-tags"],
-		Retry: h["req-retry"]}.Call(set)
+		Retry: h["req-retry"]}.Call(site)
 	if errors.Is(err, form.ErrFunction) {
 		return call, badRequestf(404, "%v", err)
 	}
--- a/internal/wire/httpfront/bounds_test.go
+++ b/internal/wire/httpfront/bounds_test.go
@@ -37,11 +37,11 @@
 // that is on its way when its connection is chosen is answered.
 func TestFullFrontMakesRoom(t *testing.T) {
 	world, front, fake := newFront(t, 6)
-	slow, far := dialSlowReader(world, front)
-	far.UnsentBytes = 1000
+	slow, serverEnd := dialSlowReader(world, front)
+	serverEnd.UnsentBytes = 1000
 	send(world, slow, checkRequest)
-	half, silent, idle, busy := dial(world, front), dial(world, front), dial(world, front), dial(world, front)
-	send(world, half, requestHead)
+	partial, silent, idle, busy := dial(world, front), dial(world, front), dial(world, front), dial(world, front)
+	send(world, partial, requestHead)
 	send(world, busy, callRequest)
 	send(world, idle, checkRequest)
 	last := dial(world, front)
@@ -57,8 +57,8 @@
 	for front.Conns() < 6 {
 		send(world, dial(world, front), strings.Replace(callRequest, "9b1f", fmt.Sprintf("%04x", 100+front.Conns()), 1))
 	}
-	if world.Advance(partialRequestMinAge + lingerTimeout); !half.Ended || !strings.HasPrefix(half.Take(), "HTTP/1.1 503 ") {
-		t.Errorf("partial request: closed %v, without a 503 answer", half.Ended)
+	if world.Advance(partialRequestMinAge + lingerTimeout); !partial.Ended || !strings.HasPrefix(partial.Take(), "HTTP/1.1 503 ") {
+		t.Errorf("partial request: closed %v, without a 503 answer", partial.Ended)
 	}
 	send(world, dial(world, front), strings.Replace(callRequest, "9b1f", "0200", 1))
 	if world.Advance(slowReaderMinAge); !slow.Ended || busy.Ended {
--- a/internal/wire/httpfront/client_close_test.go
+++ b/internal/wire/httpfront/client_close_test.go
@@ -9,7 +9,7 @@
 )
 
 // The I/O goroutine records that a client has closed its connection before the event loop handles it, so that nothing is sent on
-// behalf of that client in the meantime. The event loop does not run here until Left has been called.
+// behalf of that client in the meantime. The event loop does not run here until ClientGone has been called.
 func TestClientCloseIsKnownBeforeEventLoopHandlesIt(t *testing.T) {
 	world, front, fake := newFront(t, 9)
 	peer := &wiretest.Peer{}
@@ -22,11 +22,11 @@
 	send(world, peer, callRequest)
 	reply := fake.calls[0].Reply
 	if reply.ClientGone() {
-		t.Error("Left is true for a client that waits")
+		t.Error("ClientGone is true for a client that is still connected")
 	}
 	handler.Closed(io.EOF)
 	if !reply.ClientGone() || len(fake.gone) != 0 {
-		t.Errorf("before the event loop ran: left %v, core notified %d times", reply.ClientGone(), len(fake.gone))
+		t.Errorf("before the event loop ran: client gone %v, core notified %d times", reply.ClientGone(), len(fake.gone))
 	}
 	if world.Run(); len(fake.gone) != 1 {
 		t.Errorf("core notified %d times, want once", len(fake.gone))
--- a/internal/wire/httpfront/conn.go
+++ b/internal/wire/httpfront/conn.go
@@ -32,7 +32,7 @@
 	partial         bool // part of a request has arrived
 	closeAfterWrite bool // close the connection once out is written
 	slowReader      bool // the client has not read all of the last answer
-	unsent          int  // the part of it that is counted in Front.unsent, in bytes
+	unsent          int  // bytes of that answer that are counted in Front.unsent
 	linger          bool // before the close, discard input for lingerTimeout: a close with unread input would reset the connection
 	gone            bool // the connection has ended
 	timer           *core.Deadline
@@ -137,7 +137,7 @@
 	}
 	c.queue = append(c.queue, requests...)
 	c.noRequestYet = c.noRequestYet && len(requests) == 0
-	// The timeout runs from the first byte of a request and is not set anew by each.
+	// The timeout runs from the first byte of a request; further bytes do not restart it.
 	if partial && !c.partial && !c.noRequestYet && c.current == nil && !c.slowReader && len(requests) == 0 {
 		c.setTimeout(readTimeout)
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-// reply answers a request. clientCloses is whether its client asked for the connection to be closed.
+// reply answers a request. clientCloses states whether its client requested that the connection be closed.
 func (c *conn) reply(status int, fields string, body []byte, clientCloses bool) {
 	closing := c.closePending || c.front.shuttingDown || c.front.endingConns
 	c.writeResponse(status, fields, body, clientCloses || closing && !c.hasPending())
--- a/internal/wire/httpfront/drain_test.go
+++ b/internal/wire/httpfront/drain_test.go
@@ -17,10 +17,10 @@
 // refuses calls. Resume reverts all of this at any moment.
 func TestDrainAndResume(t *testing.T) {
 	world, front, fake := newFront(t, 9)
-	idle, busy, late, half := dial(world, front), dial(world, front), dial(world, front), dial(world, front)
+	idle, busy, late, partial := dial(world, front), dial(world, front), dial(world, front), dial(world, front)
 	send(world, idle, checkRequest)
 	send(world, busy, callRequest)
-	send(world, half, requestHead)
+	send(world, partial, requestHead)
 	front.Drain()
 	if got := send(world, late, checkRequest); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !late.Ended {
 		t.Errorf("/check is answered %q, closed %v", got, late.Ended)
@@ -37,8 +37,8 @@
 		t.Errorf("closed after the idle timeout: idle %v, with a call %v", idle.Ended, busy.Ended)
 	}
 	world.Advance(drainAcceptPeriod)
-	if got := half.Take(); !half.Ended || !strings.HasPrefix(got, "HTTP/1.1 ") {
-		t.Errorf("partial request: answer %q, closed %v", got, half.Ended)
+	if got := partial.Take(); !partial.Ended || !strings.HasPrefix(got, "HTTP/1.1 ") {
+		t.Errorf("partial request: answer %q, closed %v", got, partial.Ended)
 	}
 	late = dial(world, front)
 	if got := send(world, late, callRequest); !strings.HasPrefix(got, "HTTP/1.1 503 ") ||
--- a/internal/wire/httpfront/front.go
+++ b/internal/wire/httpfront/front.go
@@ -22,10 +22,10 @@
 
 	drainIdleTimeout  = 500 * time.Millisecond  // while draining or handing over, for connections without a request in flight
 	drainAcceptPeriod = 1800 * time.Millisecond // after the start of a drain; calls that still arrive within it are taken
-	drainRetryAfter   = time.Second             // wait that clients are told (Srv-Wait-Ms) when refused while draining
+	drainRetryAfter   = time.Second             // time to wait (Srv-Wait-Ms) that is sent to clients refused while draining
 
-	makeRoomInterval     = 10 * time.Millisecond  // while all connection slots are taken, how often idle connections are closed,
-	makeRoomBatch        = 8                      // and how many at a time
+	makeRoomInterval     = 10 * time.Millisecond  // time between two attempts to close connections while all connection slots are taken
+	makeRoomBatch        = 8                      // idle connections that one such attempt closes at most
 	partialRequestMinAge = 250 * time.Millisecond // a partial request may be refused to make room after this time
 	newConnMinAge        = 100 * time.Millisecond // a new connection without a request may be closed to make room after this time
 	slowReaderMinAge     = 2 * time.Second        // the slowest reader is disconnected to make room after this time
--- a/internal/wire/ipfix/exporter.go
+++ b/internal/wire/ipfix/exporter.go
@@ -32,10 +32,10 @@
 // Exporter sends records to a collector. It is used on the event loop only, and never delays a call: records that exceed the queue
 // are counted and dropped.
 type Exporter struct {
-	loop *core.Loop
-	net  sock.Dialer
-	opts Options
-	log  *zap.Logger
+	loop   *core.Loop
+	dialer sock.Dialer
+	opts   Options
+	log    *zap.Logger
 
 	connSeq       uint64 // number of the current connection; callbacks of earlier ones are ignored
 	conn          sock.Conn
@@ -50,8 +50,8 @@
 }
 
 // New returns an exporter. It does nothing until Start.
-func New(loop *core.Loop, net sock.Dialer, opt Options, log *zap.Logger) *Exporter {
-	return &Exporter{loop: loop, net: net, opts: opt, log: log, backoff: minBackoff}
+func New(loop *core.Loop, dialer sock.Dialer, opts Options, log *zap.Logger) *Exporter {
+	return &Exporter{loop: loop, dialer: dialer, opts: opts, log: log, backoff: minBackoff}
 }
 
 // Start connects and begins to send.
@@ -126,7 +126,7 @@
 	}
 	e.connSeq++
 	connSeq := e.connSeq
-	e.net.Dial(e.opts.Collector, connectTimeout, &connHandler{e, connSeq}, func(c sock.Conn, err error) {
+	e.dialer.Dial(e.opts.Collector, connectTimeout, &connHandler{e, connSeq}, func(c sock.Conn, err error) {
 		e.loop.Post(func() {
 			switch {
 			case connSeq != e.connSeq:
--- a/internal/wire/mqtt/connection.go
+++ b/internal/wire/mqtt/connection.go
@@ -141,11 +141,12 @@
 	} else {
 		s.resetWatchdog(s.connSeq)
 	}
-	s.comeUp()
+	s.markUp()
 	return nil
 }
 
-func (s *Session) comeUp() {
+// markUp records that the session is usable, and sends what is queued.
+func (s *Session) markUp() {
 	if s.lostAt > 0 {
 		s.log.Info("broker is back", zap.Duration("after", s.loop.Now()-s.lostAt), zap.Int("waiting", len(s.queue)))
 	}
@@ -206,7 +207,7 @@
 	if wasUp && s.onState != nil {
 		s.onState(false)
 	}
-	for _, o := range abandoned {
-		o.done(0, errLost)
+	for _, pending := range abandoned {
+		pending.done(0, errLost)
 	}
 }
--- a/internal/wire/mqtt/decode.go
+++ b/internal/wire/mqtt/decode.go
@@ -111,7 +111,7 @@
 	return p, r.err
 }
 
-// reader reads the fields of a packet's body. After an error it returns zero values, and the first error is kept.
+// reader reads the fields of a packet's body. After an error it returns zero values; err is the first error.
 type reader struct {
 	b   []byte
 	err error
--- a/internal/wire/mqtt/delivery.go
+++ b/internal/wire/mqtt/delivery.go
@@ -61,13 +61,13 @@
 
 func (x *exchange) finish(a core.Answer) { x.keys.Close(x.key, x.entry, a, x.remember) }
 
-// ClientGone is false: the outcome of a call that came by MQTT is recorded whether or not its sender still listens.
+// ClientGone returns false: the outcome of a call that came by MQTT is published and recorded whether or not its sender is still connected.
 func (x *exchange) ClientGone() bool { return false }
 
 func (x *exchange) Served(body []byte) { x.finish(core.Answer{Kind: served, Body: body}) }
 
-func (x *exchange) Refused(pause time.Duration, why string) {
-	x.finish(core.Answer{Kind: refused, RetryAfter: pause, Reason: why})
+func (x *exchange) Refused(retryAfter time.Duration, why string) {
+	x.finish(core.Answer{Kind: refused, RetryAfter: retryAfter, Reason: why})
 }
 
 func (x *exchange) Failed(why core.Failure) {
--- a/internal/wire/mqtt/front.go
+++ b/internal/wire/mqtt/front.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxBody        = 16 << 10    // bytes, as of an HTTP call
+	maxBody        = 16 << 10    // bytes, the same as for an HTTP call
 	maxKeys        = 50_000      // keyed calls whose answers are remembered
 	maxAnswerBytes = 16 << 20    // bytes of answers that are remembered
 	replyExpiry    = time.Minute // how long the broker stores an answer for a client that is not connected
@@ -54,7 +54,7 @@
 	draining   bool // calls are refused
 }
 
-// drainRetryAfter is the wait that refused callers are told while draining.
+// drainRetryAfter is the time to wait that is sent to callers refused while draining.
 const drainRetryAfter = time.Second
 
 // Drain refuses new calls from now on, until Resume. Calls in flight continue, and known calls are answered as before.
@@ -66,15 +66,15 @@
 // Ready reports whether new calls are taken.
 func (f *Front) Ready() bool { return !f.draining }
 
-// NewFront returns a front for the calls of the broker in opts. Answers are remembered for the time in keep. observe gets the
+// NewFront returns a front for the calls of the broker in opts. Answers are remembered for the retention time. observe gets the
 // records of calls that the front fails without passing them to the core.
-func NewFront(loop *core.Loop, net sock.Dialer, callCore Core, site *settings.Site, opts Options, keep time.Duration,
+func NewFront(loop *core.Loop, dialer sock.Dialer, callCore Core, site *settings.Site, opts Options, retention time.Duration,
 	seed uint64, observe core.Observer, log *zap.Logger) *Front {
 	f := &Front{loop: loop, core: callCore, site: site, log: log, observe: observe,
-		keyedCalls: core.NewKeys(loop, keep, maxKeys, maxAnswerBytes),
-		safeCalls:  core.NewKeys(loop, min(keep, time.Minute), maxKeys/10, maxAnswerBytes/4),
+		keyedCalls: core.NewKeys(loop, retention, maxKeys, maxAnswerBytes),
+		safeCalls:  core.NewKeys(loop, min(retention, time.Minute), maxKeys/10, maxAnswerBytes/4),
 		rng:        rand.New(rand.NewPCG(seed, 2))}
-	f.session = NewSession(loop, net, opts, f.receive, nil, log)
+	f.session = NewSession(loop, dialer, opts, f.receive, nil, log)
 	return f
 }
 
@@ -99,7 +99,7 @@
 		return
 	}
 	keyed := f.site.Decide.Classes[call.Class].Effect != decide.Safe
-	key, what := "", call.ClassName+" "+call.Function
+	key, target := "", call.ClassName+" "+call.Function
 	switch {
 	case call.Key != "":
 		key = "k " + strconv.Itoa(call.Tenant) + " " + call.Key
@@ -111,7 +111,7 @@
 		keys = f.keyedCalls
 	}
 	entry := keys.Find(key)
-	if entry != nil && entry.Target != what {
+	if entry != nil && entry.Target != target {
 		d.answer(core.Answer{Kind: failed, Reason: "the key was used for another call"})
 		return
 	}
@@ -134,7 +134,7 @@
 	}
 	remembered := false
 	if key != "" {
-		entry = keys.Open(key, what)
+		entry = keys.Open(key, target)
 		remembered = entry != nil
 	}
 	if entry == nil && key != "" && keyed {
@@ -144,7 +144,7 @@
 		return
 	}
 	if entry == nil { // the call has no key or correlation, or is a safe one that found no room
-		entry = &core.Entry{Target: what}
+		entry = &core.Entry{Target: target}
 	}
 	entry.Join(d.answer)
 	x := &exchange{keys: keys, key: key, entry: entry, remember: remembered}
--- a/internal/wire/mqtt/gateway_test.go
+++ b/internal/wire/mqtt/gateway_test.go
@@ -12,7 +12,7 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-const fn = "7f3a9c21e0b4d655"
+const testFunction = "7f3a9c21e0b4d655"
 
 // testGateway is a gateway with the MQTT front, the real core and module, and a worker that subscribes. The front and the worker
 // link each have a broker in memory.
@@ -119,14 +119,14 @@
 		g.records["record "+r.Call.Key] = append(g.records["record "+r.Call.Key], r.Answer)
 		g.perIncarnation[fmt.Sprint(incarnation, r.Call.Key)]++
 	}
-	onMembers := func(whole bool, members []core.Member) { g.core.ApplyList(whole, members) }
+	onMembers := func(complete bool, members []core.Member) { g.core.ApplyList(complete, members) }
 	g.link = NewLink(g.Loop, g, Options{Broker: "jobs", ClientID: "gw", KeepAlive: 20 * time.Second}, "answers/gw",
 		[]Worker{{Name: Prefix + "w1", Topic: "w1/calls", StatusTopic: "w1/status"}}, uint64(g.incarnation), onMembers, g.Log())
 	var err error
 	if g.core, err = core.New(g.Loop, site.Decide, 7, g.link, observe, g.Log()); err != nil {
 		g.T.Fatal(err)
 	}
-	g.link.Serve(g.core)
+	g.link.SetReceiver(g.core)
 	g.front = NewFront(g.Loop, g, g.core, site, Options{Broker: "calls", ClientID: "gw", Subscribe: []string{"call/#"},
 		SessionExpiry: 300 * time.Second, KeepAlive: 20 * time.Second}, 400*time.Second, uint64(g.incarnation), observe, g.Log())
 	g.link.Connect()
@@ -148,7 +148,7 @@
 func (g *testGateway) publish(class, key, corr string, expiry uint32) {
 	m := Message{Topic: "call/lift", Payload: []byte("go"), Props: Props{ResponseTopic: "back/client",
 		Correlation: []byte(corr), Expiry: expiry, HasExpiry: expiry > 0,
-		User: []Pair{{"class", class}, {"tenant", "a"}, {"function", fn}, {"key", key}}}}
+		User: []Pair{{"class", class}, {"tenant", "a"}, {"function", testFunction}, {"key", key}}}}
 	g.client.lastID++
 	g.client.conn.Write(AppendPublish(nil, &m, g.client.lastID, 0))
 	g.Run()
--- a/internal/wire/mqtt/link.go
+++ b/internal/wire/mqtt/link.go
@@ -32,10 +32,10 @@
 // Attempts in flight when the connection is lost end as reset instead.
 type Link struct {
 	loop        *core.Loop
-	ends        core.ResultHandler
+	receiver    core.ResultHandler
 	log         *zap.Logger
 	session     *Session
-	onMembers   func(whole bool, members []core.Member)
+	onMembers   func(complete bool, members []core.Member)
 	replyTopic  string // topic on which workers answer
 	incarnation []byte // first 8 bytes of the correlation data; distinguishes answers to a previous process of this gateway
 	workers     map[string]*Worker
@@ -50,8 +50,8 @@
 	pending *Pending
 }
 
-// NewLink returns a link to workers. onMembers gets changes of the list of workers, in the same form as those of the bulletin.
-func NewLink(loop *core.Loop, net sock.Dialer, opts Options, replyTopic string, workers []Worker, seed uint64,
+// NewLink returns a link to workers. onMembers is called with changes of the list of workers, in the same form as those of the bulletin.
+func NewLink(loop *core.Loop, dialer sock.Dialer, opts Options, replyTopic string, workers []Worker, seed uint64,
 	onMembers func(bool, []core.Member), log *zap.Logger) *Link {
 	l := &Link{loop: loop, log: log, onMembers: onMembers, replyTopic: replyTopic, workers: map[string]*Worker{},
 		incarnation: binary.BigEndian.AppendUint64(nil, seed), states: map[string]decide.HostState{},
@@ -61,12 +61,12 @@
 		l.workers[w.Name] = &w
 		opts.Subscribe = append(opts.Subscribe, w.StatusTopic)
 	}
-	l.session = NewSession(loop, net, opts, l.receive, l.sessionChanged, log)
+	l.session = NewSession(loop, dialer, opts, l.receive, l.sessionChanged, log)
 	return l
 }
 
-// Serve sets the receiver of the ends of attempts.
-func (l *Link) Serve(e core.ResultHandler) { l.ends = e }
+// SetReceiver sets what receives the outcomes of attempts, load orders and probes.
+func (l *Link) SetReceiver(receiver core.ResultHandler) { l.receiver = receiver }
 
 // Connect connects to the broker.
 func (l *Link) Connect() { l.session.Connect() }
@@ -92,10 +92,10 @@
 	}
 }
 
-func (l *Link) end(ref core.Ref, how decide.Outcome, note decide.Note, body []byte) {
+func (l *Link) end(ref core.Ref, outcome decide.Outcome, note decide.Note, body []byte) {
 	if _, ok := l.inFlight[ref]; ok {
 		delete(l.inFlight, ref)
-		l.ends.Ended(ref, core.AttemptResult{Outcome: how, Note: note, Body: body})
+		l.receiver.Ended(ref, core.AttemptResult{Outcome: outcome, Note: note, Body: body})
 	}
 }
 
@@ -103,7 +103,7 @@
 func (l *Link) Send(a core.Attempt) {
 	worker := l.workers[a.Host]
 	if worker == nil || !l.session.Up() {
-		l.ends.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
+		l.receiver.Ended(a.Ref, core.AttemptResult{Outcome: decide.NoConn})
 		return
 	}
 	attempt := &inFlightAttempt{worker: a.Host}
@@ -124,7 +124,7 @@
 	}
 	attempt.pending = l.session.PublishRefreshed(message, refresh, func(reason byte, err error) {
 		if err == nil && reason != NoSubscribers && reason < firstFailure {
-			l.ends.Wrote(1) // the broker has it, and a subscriber to deliver it to
+			l.receiver.Wrote(1) // the broker has it, and a subscriber to deliver it to
 		}
 		switch {
 		case err == errLost: // sessionChanged ends all attempts in flight
@@ -136,7 +136,7 @@
 	})
 }
 
-// Cancel gives an attempt up and publishes that on the worker's cancel topic. The worker may ignore it.
+// Cancel gives an attempt up: it withdraws the call, or publishes the cancellation, which the worker may ignore, on the cancel topic.
 func (l *Link) Cancel(host string, ref core.Ref) {
 	attempt, ok := l.inFlight[ref]
 	if !ok {
@@ -162,7 +162,7 @@
 // WithdrawUnwritten ends attempts whose calls have not been published yet if their worker may get nothing new.
 func (l *Link) WithdrawUnwritten(mayGet func(worker string) bool) {
 	for _, ref := range slices.Sorted(maps.Keys(l.inFlight)) {
-		if s := l.inFlight[ref]; !mayGet(s.worker) && l.session.Withdraw(s.pending) {
+		if attempt := l.inFlight[ref]; !mayGet(attempt.worker) && l.session.Withdraw(attempt.pending) {
 			l.end(ref, decide.NotSent, decide.NoNote, nil)
 		}
 	}
@@ -178,16 +178,16 @@
 	receipt.Ack()
 	if p.Topic == l.replyTopic {
 		correlation := p.Props.Correlation
-		how, known := outcomeByText[p.Props.Get("outcome")]
+		outcome, known := outcomeByText[p.Props.Get("outcome")]
 		if len(correlation) != 16 || !bytes.HasPrefix(correlation, l.incarnation) {
 			l.log.Info("answer to a previous incarnation of this gateway")
 			return
 		}
 		if !known { // the answer is unusable, but the worker has finished the call
 			l.log.Warn("answer that can't be read", zap.String("outcome", p.Props.Get("outcome")))
-			how = decide.Reset
+			outcome = decide.Reset
 		}
-		l.end(core.Ref(binary.BigEndian.Uint64(correlation[8:])), how, noteByText[p.Props.Get("detail")], p.Payload)
+		l.end(core.Ref(binary.BigEndian.Uint64(correlation[8:])), outcome, noteByText[p.Props.Get("detail")], p.Payload)
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.workers)) {
@@ -197,11 +197,11 @@
 	}
 }
 
-// Load reports an overloaded worker: there are no load orders over MQTT. Workers load what they lack when it is called.
-func (l *Link) Load(ref core.Ref, _, _ string, _ int) { l.ends.Loaded(ref, decide.Full, 0) }
+// Load reports the outcome Full, since there are no load orders over MQTT. Workers load a function that they lack when it is called.
+func (l *Link) Load(ref core.Ref, _, _ string, _ int) { l.receiver.Loaded(ref, decide.Full, 0) }
 
-// Probe reports no result: there are no probes over MQTT. For a worker that is lost, the broker publishes its last will.
-func (l *Link) Probe(ref core.Ref, _ string) { l.ends.Probed(ref, decide.NotSent, nil) }
+// Probe reports no result: there are no probes over MQTT. When a worker is lost, the broker publishes its last will.
+func (l *Link) Probe(ref core.Ref, _ string) { l.receiver.Probed(ref, decide.NotSent, nil) }
 
 // Forget does nothing, since there are no load orders and probes over MQTT.
 func (l *Link) Forget(string, core.Ref) {}
--- a/internal/wire/mqtt/never_twice_test.go
+++ b/internal/wire/mqtt/never_twice_test.go
@@ -32,7 +32,8 @@
 		}
 		for n := range 150 {
 			m := Message{Topic: "call/lift", Payload: fmt.Append(nil, "once ", n), Props: Props{ResponseTopic: "back/client",
-				Correlation: fmt.Append(nil, n), Expiry: 3, HasExpiry: true, User: []Pair{{"class", "once"}, {"tenant", "a"}, {"function", fn}}}}
+				Correlation: fmt.Append(nil, n), Expiry: 3, HasExpiry: true,
+				User: []Pair{{"class", "once"}, {"tenant", "a"}, {"function", testFunction}}}}
 			gw.client.lastID++
 			gw.client.conn.Write(AppendPublish(nil, &m, gw.client.lastID, 0))
 			gw.Run()
--- a/internal/wire/mqtt/packet.go
+++ b/internal/wire/mqtt/packet.go
@@ -1,5 +1,5 @@
-// Package mqtt is the second front: it takes calls that arrive as MQTT 5 messages, and sends calls to workers that subscribe to
-// them. It follows the OASIS standard "MQTT Version 5.0", as far as a client with QoS 0 and 1 needs.
+// Package mqtt contains the front for calls that arrive as MQTT 5 messages, and the link to workers that subscribe to calls. It follows
+// the OASIS standard "MQTT Version 5.0", as far as a client with QoS 0 and 1 needs.
 package mqtt
 
 import (
--- a/internal/wire/mqtt/publish.go
+++ b/internal/wire/mqtt/publish.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// sendQueued sends queued messages until the window is full or the broker reads no further. Flushed continues it.
+// sendQueued sends queued messages until the window is full or the broker stops reading. connHandler.Flushed continues it.
 func (s *Session) sendQueued() {
 	for s.up && s.sent < len(s.queue) && s.sent < s.maxInFlight && s.conn.Unsent() == 0 {
 		pending := s.queue[s.sent]
--- a/internal/wire/mqtt/session.go
+++ b/internal/wire/mqtt/session.go
@@ -16,8 +16,8 @@
 	maxBackoff     = 10 * time.Second
 	maxQueued      = 2048    // messages in the queue, sent or not
 	maxQueuedBytes = 8 << 20 // bytes of these messages
-	sendWindow     = 256     // messages sent and not acknowledged, or fewer if the broker limits them
-	receiveMax     = 64      // messages that the broker may have sent to us and not seen acknowledged
+	sendWindow     = 256     // messages sent and not yet acknowledged at most; fewer if the broker sets a lower limit
+	receiveMax     = 64      // messages that the broker may have sent and we have not acknowledged, at most
 )
 
 // Options are the settings of a session.
@@ -40,10 +40,10 @@
 
 // Session is a client's session with a broker. It reconnects after each loss. It is used on the event loop only.
 type Session struct {
-	loop *core.Loop
-	net  sock.Dialer
-	opts Options
-	log  *zap.Logger
+	loop   *core.Loop
+	dialer sock.Dialer
+	opts   Options
+	log    *zap.Logger
 
 	onPublish func(*Packet, Receipt) // called for each PUBLISH received
 	onState   func(up bool)          // called when the session becomes usable or unusable; may be nil
@@ -58,11 +58,11 @@
 	backoff       time.Duration
 	lostAt        time.Duration // when the broker was lost; 0 while it is not
 	out           []byte        // packets to be written by Flush
-	maxInFlight   int           // messages sent and not acknowledged, as of sendWindow and CONNACK; 0 before CONNACK
+	maxInFlight   int           // limit of sent: sendWindow, or less if CONNACK states a lower one; 0 before CONNACK
 	maxPacketSize int
 	packetID      uint16
 	queue         []*Pending // in order: first those sent, then those to be sent
-	sent          int        // how many of the queue have been sent on this connection
+	sent          int        // how many messages of the queue have been sent on this connection
 	queuedBytes   int
 }
 
@@ -81,9 +81,9 @@
 }
 
 // NewSession returns a session that passes messages to onPublish and changes of Up to onState.
-func NewSession(loop *core.Loop, net sock.Dialer, opts Options, onPublish func(*Packet, Receipt), onState func(bool),
+func NewSession(loop *core.Loop, dialer sock.Dialer, opts Options, onPublish func(*Packet, Receipt), onState func(bool),
 	log *zap.Logger) *Session {
-	return &Session{loop: loop, net: net, opts: opts, log: log, onPublish: onPublish, onState: onState, backoff: minBackoff}
+	return &Session{loop: loop, dialer: dialer, opts: opts, log: log, onPublish: onPublish, onState: onState, backoff: minBackoff}
 }
 
 // Connect connects to the broker.
@@ -94,7 +94,7 @@
 	s.connSeq++
 	connSeq := s.connSeq
 	s.watchdog = s.loop.After(connectTimeout, func() { s.fail(connSeq, errors.New("connect timed out")) })
-	s.net.Dial(s.opts.Broker, connectTimeout, &connHandler{session: s, connSeq: connSeq}, func(c sock.Conn, err error) {
+	s.dialer.Dial(s.opts.Broker, connectTimeout, &connHandler{session: s, connSeq: connSeq}, func(c sock.Conn, err error) {
 		s.loop.Post(func() { s.opened(connSeq, c, err) })
 	})
 }
--- a/internal/wire/mqtt/session_test.go
+++ b/internal/wire/mqtt/session_test.go
@@ -42,22 +42,23 @@
 	gw.wantRecords("outcome c1", "served") // the session was restored in time
 	got := decide.Good
 	l := NewLink(gw.Loop, gw, Options{Broker: "nowhere"}, "r", nil, 1, nil, gw.Log())
-	l.Serve(endsFunc(func(how decide.Outcome) { got = how }))
+	l.SetReceiver(outcomeFunc(func(outcome decide.Outcome) { got = outcome }))
 	l.Send(core.Attempt{Host: Prefix + "w9", Call: &core.Call{}})
 	if got != decide.NoConn {
 		t.Errorf("outcome %d, want no connection", got)
 	}
 }
 
-type endsFunc func(decide.Outcome)
+// outcomeFunc is a core.ResultHandler that is called with each outcome.
+type outcomeFunc func(decide.Outcome)
 
-func (e endsFunc) Ended(_ core.Ref, end core.AttemptResult) { e(end.Outcome) }
+func (e outcomeFunc) Ended(_ core.Ref, end core.AttemptResult) { e(end.Outcome) }
 
-func (e endsFunc) Probed(_ core.Ref, how decide.Outcome, _ *decide.Report) { e(how) }
+func (e outcomeFunc) Probed(_ core.Ref, outcome decide.Outcome, _ *decide.Report) { e(outcome) }
 
-func (e endsFunc) Wrote(int) {}
+func (e outcomeFunc) Wrote(int) {}
 
-func (e endsFunc) Loaded(_ core.Ref, how decide.Outcome, _ int) { e(how) }
+func (e outcomeFunc) Loaded(_ core.Ref, outcome decide.Outcome, _ int) { e(outcome) }
 
 // lockedHandler lets the fake broker be used by several I/O goroutines of real sockets.
 type lockedHandler struct {
@@ -82,21 +83,21 @@
 	var mu sync.Mutex
 	b := newBroker()
 	b.dropAcks = true
-	host, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 256, Accepted: 256},
+	brokerNet, err := sock.Listen("127.0.0.1:0", sock.Limits{Descriptors: 256, Accepted: 256},
 		func(c sock.Conn) sock.Handler { return lockedHandler{&mu, b.accept(c)} }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer host.Stop()
-	net, err := sock.Listen("", sock.Limits{Descriptors: 256, Accepted: 256}, nil, zap.NewNop())
+	defer brokerNet.Stop()
+	clientNet, err := sock.Listen("", sock.Limits{Descriptors: 256, Accepted: 256}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer net.Stop()
+	defer clientNet.Stop()
 	now := time.Hour // advanced by the test, so that it need not wait for the backoff
 	loop := core.NewLoop(func() time.Duration { return now })
 	runs := echoCore{map[string]int{}}
-	f := NewFront(loop, net, runs, wiretest.Site(), Options{Broker: host.Addr(), ClientID: "gw", Subscribe: []string{"call/#"},
+	f := NewFront(loop, clientNet, runs, wiretest.Site(), Options{Broker: brokerNet.Addr(), ClientID: "gw", Subscribe: []string{"call/#"},
 		SessionExpiry: time.Minute, KeepAlive: time.Hour}, time.Hour, 1, nil, zap.NewNop())
 	f.Connect()
 	until := func(what func() bool) {
@@ -114,7 +115,7 @@
 	until(func() bool { return f.Up() && len(b.sessions["gw"].filters) > 0 })
 	mu.Lock()
 	b.publish(Message{Topic: "call/x", Payload: []byte("hi"), Props: Props{ResponseTopic: "back", Correlation: []byte("c"),
-		User: []Pair{{"class", "command"}, {"tenant", "a"}, {"function", fn}, {"key", "k"}}}})
+		User: []Pair{{"class", "command"}, {"tenant", "a"}, {"function", testFunction}, {"key", "k"}}}})
 	mu.Unlock()
 	until(func() bool { return len(b.published) == 1 && f.Waiting() == 0 })
 	mu.Lock()
--- a/internal/wire/mqtt/workers.go
+++ b/internal/wire/mqtt/workers.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// Members are the workers with a known state.
+// Members returns the workers whose state is known.
 func (l *Link) Members() (members []core.Member) {
 	for _, name := range slices.Sorted(maps.Keys(l.states)) {
 		members = append(members, l.member(l.workers[name], l.states[name]))
--- a/internal/wire/opfront/front.go
+++ b/internal/wire/opfront/front.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// MaxConns is the number of connections that are held. One more closes the oldest of them, which has had the most time.
+	// MaxConns is the maximum number of open connections. A further one closes the oldest, which has had the most time to send its call.
 	MaxConns = 24
 	// Descriptors is the number of file descriptors that the listener may use: its connections and those of its I/O engine.
 	Descriptors = MaxConns + 4
@@ -19,8 +19,8 @@
 	lingerTimeout = 300 * time.Millisecond // for the caller to close after the reply
 )
 
-// Executor executes the calls of operators. Do is called on the event loop and calls done there once, within a second: with the
-// lines that follow SUCCESS, each ending in a line feed, or with the reason for a failure.
+// Executor executes the calls of operators. Do is called on the event loop. Within a second, done is called there once, with the lines
+// that follow SUCCESS, each ending in a line feed, or with the reason for a failure.
 type Executor interface {
 	Do(c Call, done func(text string, err error))
 }
@@ -74,7 +74,7 @@
 	if c.gone {
 		return
 	}
-	if c.front.conns.Len() == MaxConns { // a new caller is never refused: the oldest connection has had its time
+	if c.front.conns.Len() == MaxConns { // a new caller is never refused: the oldest connection has had the most time
 		var oldest *conn
 		c.front.conns.Each(func(_ core.Ref, o *conn) {
 			if oldest == nil || o.timer.Before(oldest.timer) {
@@ -115,8 +115,8 @@
 	})
 }
 
-// reply writes the one reply and closes the connection. Unless nothing follows the line, input is discarded for a moment first:
-// a close with unread input would reset the connection, and the reply could be lost.
+// reply writes the reply and closes the connection. If input follows the line, or the reply is not sent yet, the close comes after
+// lingerTimeout: a close with unread input would reset the connection, and the reply could be lost.
 func (c *conn) reply(text string, nothingFollows bool) {
 	c.answered = true
 	if _, err := c.sock.Write([]byte(text)); err != nil || nothingFollows && c.sock.Unsent() == 0 {
--- a/internal/wire/opfront/opfront_test.go
+++ b/internal/wire/opfront/opfront_test.go
@@ -22,7 +22,7 @@
 func (e *fakeExecutor) Do(c Call, done func(string, error)) {
 	call := strings.TrimSpace(c.Name + " " + c.ID)
 	if c.Emergency {
-		call += " at once"
+		call += " emergency"
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Options)) {
 		call += " " + name + ":" + c.Options[name]
@@ -61,7 +61,7 @@
 		"disable-server a b\n":        {"FAILURE too many words\n", ""},
 		"ready now\n":                 {"FAILURE too many words\n", ""},
 		"ready by=anna\n":             {"FAILURE too many words\n", ""},
-		"drain emergency by=anna why=the roof leaks\n":              {"SUCCESS\n", "drain at once by:anna why:the roof leaks"},
+		"drain emergency by=anna why=the roof leaks\n":              {"SUCCESS\n", "drain emergency by:anna why:the roof leaks"},
 		"declare freeze name=feast zone=UTC why=all that = comes\n": {"SUCCESS\n", "declare freeze name:feast why:all that = comes zone:UTC"},
 		"declare x a=1 a=2\n":                                       {"FAILURE a name without a value, or one with two\n", ""},
 		"declare x =2\n":                                            {"FAILURE a name without a value, or one with two\n", ""},
--- a/internal/wire/opfront/parser.go
+++ b/internal/wire/opfront/parser.go
@@ -15,13 +15,13 @@
 type Call struct {
 	Name      string
 	ID        string            // name of a worker or gateway, or the kind of what is declared
-	Emergency bool              // "emergency" was given: the call does not ask for a permit
+	Emergency bool              // "emergency" was given: the call needs no permit
 	Options   map[string]string // name=value options; the value of why is the rest of the line
 }
 
 // callSpec states what may follow the name of a call.
 type callSpec struct {
-	id, optional bool // a word, which may be missing if optional is set
+	id, optional bool // an id follows; with optional set, it may be missing
 	options      bool
 	readOnly     bool // the call changes nothing
 }
@@ -51,7 +51,7 @@
 // NothingFollows reports whether no input followed the line in the bytes that completed it.
 func (p *Parser) NothingFollows() bool { return p.nothingFollows }
 
-// Feed takes the next bytes. Once the line is whole it returns done with the call, or with the error. Later input is ignored.
+// Feed takes the next bytes. When the line is complete, done is true and the call or the error is returned. Later input is ignored.
 func (p *Parser) Feed(b []byte) (call Call, done bool, err error) {
 	if p.done {
 		return Call{}, false, nil
--- a/internal/wire/sock/close_test.go
+++ b/internal/wire/sock/close_test.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap"
 )
 
-// pausingEcho is a Handler of accepted connections that sends received bytes back. The first of a test that receives data blocks the
-// poller until release is closed.
-type pausingEcho struct {
+// pauseOnceEcho is a Handler of accepted connections that sends received bytes back. The first Data call of a test, on any connection,
+// blocks the poller until release is closed.
+type pauseOnceEcho struct {
 	conn      Conn
 	pauseOnce *sync.Once
 	paused    chan<- struct{}
@@ -19,7 +19,7 @@
 }
 
 // Data sends the bytes back.
-func (g *pausingEcho) Data(b []byte) error {
+func (g *pauseOnceEcho) Data(b []byte) error {
 	g.pauseOnce.Do(func() {
 		close(g.paused)
 		<-g.release
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func (g *pausingEcho) Closed(error) {}
+func (g *pauseOnceEcho) Closed(error) {}
 
 // CloseIfNoNewData leaves a connection open if unread bytes are in its socket or Data was called more often than given, and the bytes are
 // answered. The poller is blocked until both the close request and the bytes are there.
@@ -37,7 +37,7 @@
 	var pauseOnce sync.Once
 	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 64, Accepted: 64}, func(c Conn) Handler {
 		accepted <- c
-		return &pausingEcho{c, &pauseOnce, paused, release}
+		return &pauseOnceEcho{c, &pauseOnce, paused, release}
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/sock/conn.go
+++ b/internal/wire/sock/conn.go
@@ -50,8 +50,8 @@
 	c.net.queue.close(closeRequest{conn: c.Conn, session: c.session, ifNoNewData: true, delivered: int64(delivered)})
 }
 
-// Write writes through nbio. A write that fails closes the descriptor on the caller's goroutine instead of the poller goroutine. This is
-// counted before a new connection can come into use that has the same descriptor number: see Net.awaitStaleEvents.
+// Write writes through nbio. If the write fails, nbio closes the descriptor on the caller's goroutine instead of the poller goroutine.
+// closedInWrite counts this under the lock, and so before a new connection with the same descriptor number is used: see awaitStaleEvents.
 func (c *conn) Write(b []byte) (int, error) {
 	c.session.unsent.Add(int64(len(b)))
 	c.net.writing.Lock()
--- a/internal/wire/sock/log.go
+++ b/internal/wire/sock/log.go
@@ -25,8 +25,8 @@
 	}))
 }
 
-func (q nbioLogger) SetLevel(int)                  {}
-func (q nbioLogger) Debug(format string, v ...any) { q.Debugf(format, v...) }
-func (q nbioLogger) Info(format string, v ...any)  { q.Debugf(format, v...) }
-func (q nbioLogger) Warn(format string, v ...any)  { q.Warnf(format, v...) }
-func (q nbioLogger) Error(format string, v ...any) { q.Warnf(format, v...) }
+func (l nbioLogger) SetLevel(int)                  {}
+func (l nbioLogger) Debug(format string, v ...any) { l.Debugf(format, v...) }
+func (l nbioLogger) Info(format string, v ...any)  { l.Debugf(format, v...) }
+func (l nbioLogger) Warn(format string, v ...any)  { l.Warnf(format, v...) }
+func (l nbioLogger) Error(format string, v ...any) { l.Warnf(format, v...) }
--- a/internal/wire/sock/read.go
+++ b/internal/wire/sock/read.go
@@ -19,7 +19,7 @@
 
 // read reads what a connection has received. nbio calls it on the poller goroutine, and afterwards closes the connection if the peer has
 // hung up. A short read is not necessarily the last one: it may end at the mark of an urgent byte or be interrupted by the system, with
-// an answer behind it. A client that has hung up needs no answer, so accepted connections are spared the further read.
+// an answer behind it. A client that has hung up needs no answer, so a further read is made only of dialled connections.
 func (n *Net) read(c *nbio.Conn) {
 	s, ok := c.Session().(*session)
 	if !ok {
--- a/internal/wire/sock/read_test.go
+++ b/internal/wire/sock/read_test.go
@@ -11,16 +11,16 @@
 
 // byteCounter counts received bytes. Its first Data call blocks the poller until release is closed.
 type byteCounter struct {
-	release <-chan struct{}
-	paused  chan<- struct{}
-	held    bool
-	bytes   int
-	closed  chan int
+	release   <-chan struct{}
+	paused    chan<- struct{}
+	hasPaused bool
+	bytes     int
+	closed    chan int
 }
 
 func (c *byteCounter) Data(b []byte) error {
-	if !c.held {
-		c.held = true
+	if !c.hasPaused {
+		c.hasPaused = true
 		close(c.paused)
 		<-c.release
 	}
@@ -34,9 +34,9 @@
 // blocked until all bytes and the end of the stream are in the socket.
 func TestBytesBeforeHangUpAreRead(t *testing.T) {
 	const size = 512 << 10
-	release, begun, closed := make(chan struct{}), make(chan struct{}), make(chan int, 1)
+	release, paused, closed := make(chan struct{}), make(chan struct{}), make(chan int, 1)
 	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 64, Accepted: 64}, func(Conn) Handler {
-		return &byteCounter{release: release, paused: begun, closed: closed}
+		return &byteCounter{release: release, paused: paused, closed: closed}
 	}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	if _, err := peer.Write([]byte{0}); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
+	<-paused
 	if _, err := peer.Write(make([]byte, size-1)); err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 // A read may return less than is available: here it ends at the mark of an urgent byte; an interrupted system call has the same effect.
 // If the peer has hung up already, the bytes behind the mark are still read, since they may be an answer.
 func TestBytesAfterShortReadAreReadBeforeHangUp(t *testing.T) {
-	release, begun, closed := make(chan struct{}), make(chan struct{}), make(chan int, 1)
+	release, paused, closed := make(chan struct{}), make(chan struct{}), make(chan int, 1)
 	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 64, Accepted: 64}, func(Conn) Handler { return nil }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	n.Dial(ln.Addr().String(), time.Second, &byteCounter{release: release, paused: begun, closed: closed}, func(_ Conn, err error) {
+	n.Dial(ln.Addr().String(), time.Second, &byteCounter{release: release, paused: paused, closed: closed}, func(_ Conn, err error) {
 		if err != nil {
 			t.Error(err)
 		}
@@ -95,7 +95,7 @@
 		}
 	}
 	write("held", 0)
-	<-begun
+	<-paused
 	write("before", 0)
 	write("!", unix.MSG_OOB)
 	write("behind", 0)
--- a/internal/wire/sock/sock.go
+++ b/internal/wire/sock/sock.go
@@ -74,7 +74,8 @@
 	stopped bool
 }
 
-// add gives a dialled connection to the engine. While the engine stops it waits for a fixed number of connections, so then none is added.
+// add gives a dialled connection to the engine. A stopping engine waits for the end of a number of connections that is fixed when the
+// stop begins, so none is added after that.
 func (n *Net) add(c *nbio.Conn) error {
 	n.stopMu.RLock()
 	defer n.stopMu.RUnlock()
@@ -158,7 +159,7 @@
 			}
 		}
 	})
-	// Without a pause nbio would retry in a busy loop while accepting fails for lack of descriptors.
+	// Without a pause nbio would retry in a busy loop while no connection can be accepted for lack of descriptors.
 	n.engine.OnAcceptError(func(err error) {
 		if !errors.Is(err, net.ErrClosed) {
 			time.Sleep(5 * time.Millisecond)
--- a/internal/wire/wiretest/wiretest.go
+++ b/internal/wire/wiretest/wiretest.go
@@ -163,10 +163,10 @@
 	return nil
 }
 
-// CloseIfNoNewData ends the connection in a step of its own, unless more than taken deliveries have reached its handler by then.
-func (c *Conn) CloseIfNoNewData(taken int) {
+// CloseIfNoNewData ends the connection in a step of its own, unless its handler has had more than the given number of deliveries by then.
+func (c *Conn) CloseIfNoNewData(delivered int) {
 	c.world.steps = append(c.world.steps, func() {
-		if c.delivered == taken {
+		if c.delivered == delivered {
 			c.end(nil)
 		}
 	})
--- a/internal/wire/workerlink/conn.go
+++ b/internal/wire/workerlink/conn.go
@@ -17,7 +17,7 @@
 
 const (
 	maxRetiredIDs  = 256                    // retired ids that a connection remembers
-	stallTimeout   = 100 * time.Millisecond // for the rest of a partial answer, and for a sign of life after a call was sent
+	stallTimeout   = 100 * time.Millisecond // for the rest of a partial answer, and for the first bytes after a call was sent
 	blockedTimeout = 100 * time.Millisecond // for a worker to accept written bytes, so that no call reaches it later than that
 	maxIdleBuffer  = 64 << 10               // bytes of the write buffer that an outbox retains between writes
 )
@@ -40,7 +40,7 @@
 	partialTimer *core.Deadline             // runs while an answer is incomplete
 	lastReceived time.Duration              // when bytes were last received
 	assignedAt   map[core.Ref]time.Duration // when each open attempt was assigned to the connection
-	unresponsive bool                       // an attempt was abandoned without an answer: no new calls until bytes are received
+	unresponsive bool                       // an attempt was abandoned with nothing received since it was sent: no new calls until bytes arrive
 	// retired holds ids that were answered or abandoned on this connection, or answered before they were used. A late answer under
 	// such an id must not be taken for the answer to a later attempt. retiredOrder lists them from oldest to newest.
 	retired      map[string]bool
@@ -174,8 +174,8 @@
 	c.checkIdle()
 }
 
-// abandon ends an attempt whose result is not needed any more: it is withdrawn if unwritten, else a CANCEL is sent for it. If nothing
-// was received since the attempt was sent stallTimeout ago or more, the connection counts as unresponsive.
+// abandon ends an attempt whose result is not needed any more: it is withdrawn if unwritten, else a CANCEL is sent for it. If the
+// attempt was sent at least stallTimeout ago and nothing was received since, the connection counts as unresponsive.
 func (c *conn) abandon(id string, ref core.Ref) {
 	if c.outbox.withdrawCall(ref) {
 		c.dropUnwritten(id, ref)
--- a/internal/wire/workerlink/model_test.go
+++ b/internal/wire/workerlink/model_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// abandon cancels an attempt that is still open.
+// giveUp cancels an attempt that is still open.
 func (m *model) giveUp(ref core.Ref) {
 	if m.replies[ref] == nil || len(m.outcomes[ref]) > 0 || m.givenUp[ref] {
 		return
@@ -61,11 +61,11 @@
 	for host, addr := range map[string]string{"wa": "a:1", "wb": "b:1"} {
 		for _, p := range m.peers[addr] {
 			for _, line := range strings.Split(p.Take(), "\r\n") {
-				word, rest, _ := strings.Cut(line, " ")
-				if m.draining[host] && (word == "CALL" || word == "LOAD") {
+				command, rest, _ := strings.Cut(line, " ")
+				if m.draining[host] && (command == "CALL" || command == "LOAD") {
 					m.T.Fatalf("%q was written to a draining worker", line)
 				}
-				if id, _, _ := strings.Cut(rest, " "); word == "CALL" && m.leftIDs[id] {
+				if id, _, _ := strings.Cut(rest, " "); command == "CALL" && m.leftIDs[id] {
 					m.T.Fatalf("%q was written for a client that has left", line)
 				}
 			}
--- a/internal/wire/workerlink/send.go
+++ b/internal/wire/workerlink/send.go
@@ -38,8 +38,9 @@
 	return m.kind == callMessage && (call.Reply != nil && call.Reply.ClientGone() || m.call.Budget(p.loop) < time.Millisecond)
 }
 
-// connForCall returns the connection for a call under this id: one with few calls, then a new one, then any with a free stream. Of
-// several it takes the one with the most calls. It returns nil if there is none and none can be dialled.
+// connForCall returns the connection for a call under this id: one with fewer than preferredCallsPerConn calls, else a new one if there
+// are fewer than preferredConns, else any with a free stream, else a new one. Of several it takes the one with the most calls. It returns
+// nil if there is none and none can be dialled.
 func (p *Pool) connForCall(h *host, id string) *conn {
 	streams := max(1, p.site.StreamsPerConn)
 	connWithRoom := func(limit int) *conn {
@@ -154,7 +155,7 @@
 	}
 }
 
-// Unload tells a worker to unload the idle copies of a function. The worker sends no answer.
+// Unload sends a worker the command to unload the idle copies of a function. The worker sends no answer.
 func (p *Pool) Unload(name, function string) {
 	if h := p.hosts[name]; h != nil {
 		if c := h.pick(func(*conn) bool { return true }); c != nil {
--- a/internal/wire/workerlink/unwritten_test.go
+++ b/internal/wire/workerlink/unwritten_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Unsend withdraws an attempt that has not been written, once, and none that has been written.
-func TestUnsendOnlyBeforeWrite(t *testing.T) {
+// WithdrawAttempt withdraws an attempt that has not been written, once, and none that has been written.
+func TestWithdrawAttemptOnlyBeforeWrite(t *testing.T) {
 	r := newRig(t)
 	a, _ := newAttempt(90, "wa", "first")
 	r.pool.Send(a)
--- a/internal/wire/workerlink/workerlink_test.go
+++ b/internal/wire/workerlink/workerlink_test.go
@@ -13,7 +13,7 @@
 	"quillrail/internal/wire/wiretest"
 )
 
-// rig is a pool with two workers whose side the test plays. It records what the pool reports to the core.
+// rig is a pool with two workers that the test simulates. It records what the pool reports to the core.
 type rig struct {
 	*wiretest.World
 	pool     *Pool
