--- a/internal/fleet/agreement/agent.go
+++ b/internal/fleet/agreement/agent.go
@@ -1,7 +1,7 @@
-// Package agreement is a gateway's part in the agreement of its fleet. If this gateway votes, it replicates the log;
-// otherwise it follows a voter. It reports its observations to the leader, does the leader's work if it is the leader,
-// and carries out the agreed decisions that concern this gateway. Packages replog, change, freeze and site make the
-// decisions themselves. The part runs on the event loop and never blocks.
+// Package agreement implements a gateway's part in the agreement of its fleet. If this gateway votes, it replicates the
+// log; otherwise it follows a voter. It reports its observations to the leader, does the leader's work if it is the
+// leader, and carries out the agreed decisions that concern this gateway. Packages replog, change, freeze and site make
+// the decisions themselves. An Agent runs on the event loop and never blocks.
 package agreement
 
 import (
@@ -27,7 +27,7 @@
 	Halls           []string // indexed by the zone numbers of the worker list
 	Classes         []string
 	Tenants         []string
-	InitialVoters   []string      // voters of the first log, nil if this gateway takes part in no agreement
+	InitialVoters   []string      // voters of the first log, nil if this gateway is configured without an agreement
 	TargetVoters    int           // wanted number of voters
 	ReplaceAfter    time.Duration // time without contact after which a voter is replaced
 	HallLostAfter   time.Duration // time without any serving worker after which a hall is declared lost
@@ -70,7 +70,7 @@
 	answers        map[string]identityAnswer    // by gateway
 	group          *replog.Group                // nil if this gateway does not replicate the log
 	writing        bool                         // a write of the group is on its way to the disk
-	firstLogIndex  uint64                       // range of entries that may be on disk
+	firstLogIndex  uint64                       // first and last index of the entries that may be on disk
 	lastLogIndex   uint64
 	failed         bool             // the log was abandoned after an error
 	failedAt       time.Duration    // time of that error
@@ -177,7 +177,8 @@
 	}
 }
 
-// Age returns the time since the known state was last known to be current, and whether it has ever been in this process.
+// Age returns the time since the known state was last known to be current, and false if it has never been known to be
+// current in this process.
 func (a *Agent) Age() (time.Duration, bool) { return a.host.Now() - a.currentAt, a.caughtUp }
 
 // Configured notes that another configuration is in force at this gateway from now on.
--- a/internal/fleet/agreement/apply.go
+++ b/internal/fleet/agreement/apply.go
@@ -15,7 +15,7 @@
 	if state.Era != a.handledEra {
 		a.handledEra, a.handledIndex = state.Era, 0
 	}
-	if applied.Index <= a.handledIndex { // the replica and the group both apply it
+	if applied.Index <= a.handledIndex { // already handled: the replica and the group may both apply an entry
 		return
 	}
 	a.handledIndex = applied.Index
@@ -40,8 +40,8 @@
 const rejoinDelay = 10 * time.Second
 
 // abandonLog stops replicating the log after an error of the raft library or of the disk. The gateway is a follower from
-// then on. What it has acknowledged last as a voter may not be on disk, so it also gives up its voter ID and can only be
-// added again as another voter. A log that is still being bootstrapped is discarded.
+// then on. The last entries that it acknowledged as a voter may not be on disk, so it also gives up its voter ID and can
+// only be added again as another voter. A log that is still being bootstrapped is discarded.
 func (a *Agent) abandonLog(err error) {
 	if err == nil || a.group == nil {
 		return
--- a/internal/fleet/agreement/eligibility.go
+++ b/internal/fleet/agreement/eligibility.go
@@ -32,7 +32,7 @@
 		return
 	}
 	for _, name := range a.otherGateways() {
-		a.send(name, message{Kind: messageIncarnationQuery, Incarnation: a.host.Incarnation().Number, Tag: a.host.Incarnation().Tag})
+		a.send(name, message{Kind: messageIdentityQuery, Incarnation: a.host.Incarnation().Number, Tag: a.host.Incarnation().Tag})
 	}
 	if a.eligibility != nil {
 		a.applyVerdict()
--- a/internal/fleet/agreement/follow.go
+++ b/internal/fleet/agreement/follow.go
@@ -12,10 +12,10 @@
 
 const (
 	followInterval       = time.Second     // between two requests of a follower for updates
-	contactTimeout       = 3 * time.Second // without current state, a follower then tries the next voter, and a voter requests updates too
+	contactTimeout       = 3 * time.Second // time without current state until a follower tries the next voter and a voter requests updates
 	heartbeatTicks       = 5               // ticks between heartbeats to followers
-	followerTimeout      = 5 * time.Second // since a gateway's last request for updates, until it no longer counts as a follower
-	maxRecentEntries     = 1024            // recent entries that are remembered for followers
+	followerTimeout      = 5 * time.Second // time after its last request until a gateway no longer counts as a follower
+	maxRecentEntries     = 1024            // applied entries that are remembered for followers
 	maxEntriesPerMessage = 128
 	maxFollowers         = 1024
 )
--- a/internal/fleet/agreement/frozen.go
+++ b/internal/fleet/agreement/frozen.go
@@ -24,16 +24,16 @@
 	return freeze.Clock{At: time.UnixMilli(a.host.Now().Milliseconds()), Bound: time.Duration(bound) * time.Millisecond}
 }
 
-// recordClockOffset compares this gateway's clock with the one in a received message. The message may have been under
-// way for some time, so this gateway's clock is known to be wrong only if it is behind by more than twice the bound, or
-// ahead by more than that and the longest delay of a message.
+// recordClockOffset compares this gateway's clock with the one in a received message. The message may have been in
+// transit for some time, so this gateway's clock is known to be wrong only if it is behind by more than twice the bound,
+// or ahead by more than twice the bound plus maxMessageDelay.
 func (a *Agent) recordClockOffset(msg message) {
 	if msg.At > 0 {
 		a.clockOffset, a.clockOffsetAt = a.host.Now()-time.Duration(msg.At)*time.Millisecond, a.host.Now()
 	}
 }
 
-// maxMessageDelay is the longest delay of a message that is expected in a healthy network.
+// maxMessageDelay is the longest message delay that is expected in a healthy network.
 const maxMessageDelay = time.Second
 
 // Frozen returns the reason why this gateway must not make a change of the given kind now, "" if it may.
--- a/internal/fleet/agreement/holder.go
+++ b/internal/fleet/agreement/holder.go
@@ -18,7 +18,7 @@
 	banned          map[string]bool // workers that a permit in use bans
 	drainPermit     uint64          // the permit under which this gateway drains
 	withdrawnPermit uint64          // the permit for this gateway that an operator withdrew before it was used
-	proposedSteps   map[uint64]bool // proposed steps by permit ID<<3 | step; step 1 uses the permit, step 2 returns it
+	proposedSteps   map[uint64]bool // proposed steps; key: permit ID<<3 | step, where step 1 uses the permit and step 2 returns it
 }
 
 // handleEntry carries out what an applied entry requires of this gateway.
--- a/internal/fleet/agreement/incarnations.go
+++ b/internal/fleet/agreement/incarnations.go
@@ -5,7 +5,8 @@
 )
 
 // incarnationRecord is the highest incarnation of a gateway that has been observed, and the highest number before it.
-// The latter is the answer to a query of that process, whose own incarnation may be known already from another message.
+// Before is the answer to an identity query by the process with the highest incarnation, because that incarnation itself
+// may already be known from another message of the same process.
 type incarnationRecord struct {
 	member.Incarnation
 	Before uint64
--- a/internal/fleet/agreement/lead.go
+++ b/internal/fleet/agreement/lead.go
@@ -22,7 +22,7 @@
 	receivedAt time.Duration
 }
 
-// leaderState is what this gateway keeps while it is the leader.
+// leaderState holds what this gateway needs while it is the leader.
 type leaderState struct {
 	driver              *change.Driver
 	reports             map[string]*receivedReport // by gateway
@@ -30,7 +30,7 @@
 	since               time.Duration              // when it became the leader
 	noMajorityFor       time.Duration              // how long there was no majority before this gateway became the leader
 	unappliedProposals  int                        // own proposals as leader that have not been applied
-	proposedAt          time.Duration              // last time at which the leader looked for something to propose
+	proposedAt          time.Duration              // when the leader last checked what to propose
 	seemsLostSince      map[string]time.Duration   // by hall, since when it has looked lost
 	seemsRecoveredSince map[string]time.Duration   // by hall, since when it has looked recovered
 	lostAt              map[string]time.Duration   // by hall, when this gateway, as the leader, last found it lost
@@ -149,8 +149,8 @@
 	return view
 }
 
-// witnesses returns the gateways that see another gateway serve in a given incarnation. A gateway that does not mention
-// it sees it as agreed.
+// witnesses returns the gateways that observe another gateway as serving in a given incarnation. A gateway whose report
+// does not mention it observes it in its agreed state.
 func (l *leaderState) witnesses(state *replog.State, name string, incarnation uint64, now time.Duration) (out []string) {
 	subject := change.NewSubject(change.Gateway, name)
 	known := state.Change.Subjects[subject]
@@ -168,15 +168,15 @@
 	return out
 }
 
-// combineWorkerReports combines the observations of workers. A worker is out if any gateway's list says so, or if at
-// least half of the reporting gateways judge so; it is cold if any gateway judges so and fewer than two witness that it
-// is well.
+// combineWorkerReports combines the observations of workers. A worker is unavailable if it is so by any gateway's worker
+// list, or if at least half of the reporting gateways observe it as unavailable. It is cold if any gateway observes it
+// as cold and fewer than two observe it as healthy.
 func (l *leaderState) combineWorkerReports(state *replog.State, view *change.View, now time.Duration) {
 	type tally struct {
-		well           []string
-		cold, out, all int
-		byList         bool
-		last           WorkerObservation
+		witnesses                  []string
+		cold, unavailable, reports int
+		byList                     bool
+		last                       WorkerObservation
 	}
 	seen := map[string]*tally{}
 	reports := 0
@@ -195,16 +195,16 @@
 			if worker.Start >= t.last.Start {
 				t.last = worker
 			}
-			t.all++
+			t.reports++
 			switch {
 			case worker.ByList:
 				t.byList = true
 			case worker.Health == change.Unavailable:
-				t.out++
+				t.unavailable++
 			case worker.Health == change.Cold:
 				t.cold++
 			default:
-				t.well = append(t.well, name)
+				t.witnesses = append(t.witnesses, name)
 			}
 		}
 	}
@@ -223,8 +223,8 @@
 	}
 	for id, t := range seen {
 		known := state.Change.Subjects[change.NewSubject(change.Worker, id)]
-		observation := change.Observation{Hall: t.last.Hall, Incarnation: t.last.Start, Health: change.Healthy, Witnesses: t.well}
-		silent := reports - t.all // gateways that see the worker as agreed do not report it
+		observation := change.Observation{Hall: t.last.Hall, Incarnation: t.last.Start, Health: change.Healthy, Witnesses: t.witnesses}
+		silent := reports - t.reports // gateways that observe the worker in its agreed state do not report it
 		if known != nil && known.Health == change.Healthy && state.Change.PermitOf(change.NewSubject(change.Worker, id)) == nil &&
 			known.Incarnation == t.last.Start {
 			for _, name := range sortedKeys(l.reports) {
@@ -235,7 +235,7 @@
 			}
 		}
 		switch {
-		case t.byList, 2*t.out >= max(1, t.all+silent):
+		case t.byList, 2*t.unavailable >= max(1, t.reports+silent):
 			observation.Health = change.Unavailable
 		case t.cold > 0 && len(observation.Witnesses) < 2:
 			observation.Health = change.Cold
--- a/internal/fleet/agreement/messages.go
+++ b/internal/fleet/agreement/messages.go
@@ -11,17 +11,17 @@
 
 // The kinds of message.
 const (
-	messageIncarnationQuery  = iota + 1 // asks which incarnation of the sender another gateway knows of
-	messageIncarnationAnswer            // the answer
-	messageRaft                         // a message of raft between voters
-	messageFollow                       // a follower requests the entries after Index
-	messageEntries                      // entries for a follower
-	messageState                        // the whole state for a follower
-	messageHeartbeat                    // confirms to a follower that what it received is current
-	messagePropose                      // a proposed entry for the leader
-	messageReport                       // a gateway's Report for the leader
-	messageNotLeader                    // the sender is not the leader, Name is
-	messageEra                          // the log has been rebuilt in a new era
+	messageIdentityQuery  = iota + 1 // asks which incarnation of the sender the receiver knows
+	messageIdentityAnswer            // the answer to an identity query
+	messageRaft                      // a message of raft between voters
+	messageFollow                    // a follower requests the entries after Index
+	messageEntries                   // entries for a follower
+	messageState                     // the whole state for a follower
+	messageHeartbeat                 // confirms to a follower that what it received is current
+	messagePropose                   // a proposed entry for the leader
+	messageReport                    // a gateway's Report for the leader
+	messageNotLeader                 // the sender is not the leader; Name is the leader, if known
+	messageEra                       // the log has been rebuilt in a new era
 )
 
 // message is a message between the agreement parts of two gateways.
@@ -64,9 +64,9 @@
 	}
 	a.handleEra(received.From, msg)
 	switch msg.Kind {
-	case messageIncarnationQuery:
+	case messageIdentityQuery:
 		state := a.State()
-		reply := message{Kind: messageIncarnationAnswer,
+		reply := message{Kind: messageIdentityAnswer,
 			Incarnation: a.recordIncarnation(received.From, member.Incarnation{Number: msg.Incarnation, Tag: msg.Tag}), ID: a.voterID}
 		if state != nil {
 			reply.Index = state.Index
@@ -75,7 +75,7 @@
 			reply.Index = 1
 		}
 		a.send(received.From, reply)
-	case messageIncarnationAnswer:
+	case messageIdentityAnswer:
 		a.handleIdentityAnswer(received.From, msg)
 	case messageRaft:
 		a.handleRaftMessage(received.From, msg.Body)
@@ -119,7 +119,7 @@
 	a.pump()
 }
 
-// pump carries out what the group wants done.
+// pump carries out the outputs of the group, as long as there are any and no write is pending.
 func (a *Agent) pump() {
 	for a.group != nil && !a.writing {
 		out, err := a.group.Ready()
--- a/internal/fleet/agreement/propose.go
+++ b/internal/fleet/agreement/propose.go
@@ -12,9 +12,9 @@
 
 const (
 	resendAfter         = 400 * time.Millisecond // time after which a proposal that has not been applied is sent again
-	maxPendingProposals = 32                     // must be less than replog remembers of each gateway
+	maxPendingProposals = 32                     // must be less than the number of proposals that replog remembers for each gateway
 	proposalTimeout     = 30 * time.Second       // time after which a proposal is given up; it may still be applied later
-	emergencyTimeout    = time.Hour              // the same for emergencies, to be recorded even after a long partition
+	emergencyTimeout    = time.Hour              // the same for emergency permits, which have to be recorded even after a long partition
 	operatorTimeout     = 800 * time.Millisecond // time after which an operator gets an answer
 )
 
--- a/internal/fleet/agreement/report.go
+++ b/internal/fleet/agreement/report.go
@@ -19,8 +19,8 @@
 	maxReportItems = 4096            // gateways and workers in a report
 )
 
-// Report is what a gateway sends to the leader. Gateways and workers that it does not mention are, as far as the gateway
-// can see, as the agreed state has them.
+// Report is what a gateway sends to the leader. A gateway or worker that a report does not mention is observed in its
+// agreed state.
 type Report struct {
 	Name            string
 	Incarnation     uint64 `msgpack:"Life"`
@@ -29,7 +29,7 @@
 	Serving, Warm   bool
 	Left            bool // unused
 	Version, Config string
-	Level           int
+	Level           int            // replog.Level of the gateway's program
 	Index           uint64         // index of the last entry that the gateway has applied
 	Load            float64        // calls/s
 	Classes         []change.Tally // answers by class
@@ -38,7 +38,7 @@
 	Workers         []WorkerObservation
 	Copies          []WorkerCopies
 	AnsweredHalls   []string `msgpack:"Halls"` // halls in which a worker has answered recently
-	UnansweredHalls []string `msgpack:"Dark"`  // halls in which none has, and the gateway avoids one
+	UnansweredHalls []string `msgpack:"Dark"`  // halls in which none has, and the gateway avoids a ready worker
 }
 
 // GatewayObservation is what a gateway observes of another gateway.
@@ -53,7 +53,7 @@
 	ID, Hall string
 	Start    uint64 // start of the worker according to the worker list, Unix ms
 	Health   change.Health
-	ByList   bool // it is out because of the worker list or because of a ban
+	ByList   bool // it is unavailable because of the worker list or because of a ban
 }
 
 // WorkerCopies is what a gateway believes about the functions of a worker: those that are loaded there, and those of
@@ -162,8 +162,8 @@
 	return report
 }
 
-// observeWorker returns how this gateway sees a worker: out because of the worker list or of failures, cold for a while
-// after its start and, after a restart, until it has answered, otherwise well.
+// observeWorker returns how this gateway observes a worker: unavailable because of the worker list, a ban or failures;
+// cold during ColdFor after its start, and after a restart until it has answered; otherwise healthy.
 func (a *Agent) observeWorker(name string, listing core.Member, now time.Duration) WorkerObservation {
 	observed := WorkerObservation{ID: name, Hall: a.hallName(listing.Zone),
 		Start: uint64(max(0, listing.Since.Milliseconds())), Health: change.Healthy}
--- a/internal/fleet/agreement/show.go
+++ b/internal/fleet/agreement/show.go
@@ -115,8 +115,8 @@
 
 func subjectNames(subjects []change.Subject) string {
 	var out []string
-	for _, t := range subjects {
-		out = append(out, t.Kind()+" "+t.Name())
+	for _, subject := range subjects {
+		out = append(out, subject.Kind()+" "+subject.Name())
 	}
 	slices.Sort(out)
 	return strings.Join(out, ", ")
@@ -151,13 +151,13 @@
 		return
 	}
 	at := map[string][]string{}
-	for t := range release.From {
-		if known := state.Change.Subjects[t]; known != nil {
+	for subject := range release.From {
+		if known := state.Change.Subjects[subject]; known != nil {
 			value := known.Version
 			if release.What == change.Config {
 				value = known.Config
 			}
-			at[value] = append(at[value], t.Name())
+			at[value] = append(at[value], subject.Name())
 		}
 	}
 	for _, value := range sortedKeys(at) {
--- a/internal/fleet/agreement/sites.go
+++ b/internal/fleet/agreement/sites.go
@@ -139,9 +139,9 @@
 			}
 			return now - m[hall]
 		}
-		// A hall is lost if all of its workers are out, or if two gateways send calls there and get no answers. A hall
-		// without calls is not lost. It has recovered once a gateway gets an answer there or a worker there has been
-		// restarted since.
+		// A hall is lost if all of its workers are unavailable, or if two gateways send calls there and get no answers.
+		// A hall without calls is not lost. It has recovered once a gateway gets an answer there or a worker there has
+		// been restarted since.
 		lostFor := since(lead.seemsLostSince, reporting > 0 && !answered[hall] &&
 			(inService[hall] == 0 || unanswered[hall] >= min(2, reporting)))
 		recoveredFor := since(lead.seemsRecoveredSince, answered[hall] || restarted[hall])
--- a/internal/fleet/change/apply.go
+++ b/internal/fleet/change/apply.go
@@ -13,18 +13,18 @@
 	if len(p.Subjects) == 0 || len(p.Subjects) > maxSubjects || len(s.Permits) >= maxPermits {
 		return fmt.Errorf("a permit for %d things, with %d permits there", len(p.Subjects), len(s.Permits))
 	}
-	for i, t := range p.Subjects {
-		if err := t.Check(); err != nil {
+	for i, subject := range p.Subjects {
+		if err := subject.Check(); err != nil {
 			return err
 		}
-		if s.Subjects[t] == nil {
-			return fmt.Errorf("nothing is known of %s %s", t.Kind(), t.Name())
+		if s.Subjects[subject] == nil {
+			return fmt.Errorf("nothing is known of %s %s", subject.Kind(), subject.Name())
 		}
-		if slices.Contains(p.Subjects[:i], t) {
-			return fmt.Errorf("%s is named twice", t.Name())
+		if slices.Contains(p.Subjects[:i], subject) {
+			return fmt.Errorf("%s is named twice", subject.Name())
 		}
-		if q := s.PermitOf(t); q != nil && !(p.Emergency && q.Phase < InUse) {
-			return fmt.Errorf("permit %d for %s is there: it %s", q.ID, t.Name(), q.Phase)
+		if q := s.PermitOf(subject); q != nil && !(p.Emergency && q.Phase < InUse) {
+			return fmt.Errorf("permit %d for %s is there: it %s", q.ID, subject.Name(), q.Phase)
 		}
 	}
 	if p.Release == 0 && p.By == "" {
@@ -32,8 +32,8 @@
 	}
 	p.ID, p.At, p.Phase, p.ReturnIndex, p.Overtaken = c.Index, c.At, Requested, 0, 0
 	if p.Emergency {
-		for _, t := range p.Subjects { // ends the permits that it replaces
-			if q := s.PermitOf(t); q != nil {
+		for _, subject := range p.Subjects { // ends the permits that it replaces
+			if q := s.PermitOf(subject); q != nil {
 				s.endPermit(q, "overtaken by an emergency")
 			}
 		}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Use states that the holder, in the given incarnation, may take the permit's subjects out of service from now on. The holder
-// may act only after it has seen that this entry is agreed.
+// Use records that the holder, in the given incarnation, may take the permit's subjects out of service from now on. The holder
+// may act only once this entry has been applied at its own gateway.
 func (s *State) Use(c Context, id uint64, holder string, incarnation uint64) error {
 	p := s.Permit(id)
 	switch {
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// Return states that the subjects are back in service, or may be used again. A holder states this in the incarnation that used
-// the permit or in a later one; entries of an earlier incarnation are rejected, as that process can't act any more.
+// Return records that the subjects are back in service, or may be used again. The holder must have the incarnation that used the
+// permit or a later one; entries of an earlier incarnation are rejected, as that process can't act any more.
 func (s *State) Return(c Context, id uint64, holder string, incarnation uint64) error {
 	p := s.Permit(id)
 	switch {
@@ -113,12 +113,12 @@
 	if p == nil || p.Phase != Returned && safeguard.Enabled("holder's word") {
 		return fmt.Errorf("permit %d has not been returned by its holder", id)
 	}
-	for _, t := range p.Subjects {
+	for _, subject := range p.Subjects {
 		if !safeguard.Enabled("evidence of return") {
 			break
 		}
-		if k := s.Subjects[t]; k != nil && (k.Health != Healthy || k.Index <= p.ReturnIndex) {
-			return fmt.Errorf("%s has not been observed as healthy since its permit was returned", t.Name())
+		if status := s.Subjects[subject]; status != nil && (status.Health != Healthy || status.Index <= p.ReturnIndex) {
+			return fmt.Errorf("%s has not been observed as healthy since its permit was returned", subject.Name())
 		}
 	}
 	s.endPermit(p, "seen serving")
@@ -150,7 +150,7 @@
 	Subject Subject `msgpack:"Thing"`
 	SubjectStatus
 	Witnesses []string // gateways that observe it as healthy
-	Forget    bool     // it has left the fleet
+	Forget    bool     // the subject has left the fleet
 }
 
 // UpdateStatuses records observed statuses. A subject becomes healthy only if witnesses other than itself confirm it. Updates that
@@ -190,8 +190,8 @@
 // other gateways if these are fewer.
 func (s *State) missingWitnesses(update StatusUpdate) int {
 	others, seen := 0, map[string]bool{}
-	for t := range s.Subjects {
-		if t.Kind() == Gateway && t != update.Subject {
+	for subject := range s.Subjects {
+		if subject.Kind() == Gateway && subject != update.Subject {
 			others++
 		}
 		if others >= requiredWitnesses { // further gateways don't change the result; stops early as every gateway applies each entry
--- a/internal/fleet/change/check_limits.go
+++ b/internal/fleet/change/check_limits.go
@@ -17,19 +17,19 @@
 		// The maps are by hall; "" is the whole fleet.
 		total, unavailable := map[string]int{}, map[string][]Subject{}
 		requested := map[string]int{}
-		for t, k := range s.Subjects {
-			if t.Kind() != kind {
+		for subject, status := range s.Subjects {
+			if subject.Kind() != kind {
 				continue
 			}
 			total[""]++
-			total[k.Hall]++
+			total[status.Hall]++
 			switch {
-			case slices.Contains(subjects, t):
+			case slices.Contains(subjects, subject):
 				requested[""]++
-				requested[k.Hall]++
-			case s.countsUnavailable(t):
-				unavailable[""] = append(unavailable[""], t)
-				unavailable[k.Hall] = append(unavailable[k.Hall], t)
+				requested[status.Hall]++
+			case s.countsUnavailable(subject):
+				unavailable[""] = append(unavailable[""], subject)
+				unavailable[status.Hall] = append(unavailable[status.Hall], subject)
 			}
 		}
 		if requested[""] == 0 {
@@ -63,7 +63,7 @@
 }
 
 func holdOnlyCopies(subjects []Subject, m Measurements) bool {
-	return slices.ContainsFunc(subjects, func(t Subject) bool { return m.OnlyCopies[t] > 0 })
+	return slices.ContainsFunc(subjects, func(subject Subject) bool { return m.OnlyCopies[subject] > 0 })
 }
 
 // localLimitError is the error of a limit on one hall or on only copies. Later requests may be granted while a permit waits for
--- a/internal/fleet/change/comparator.go
+++ b/internal/fleet/change/comparator.go
@@ -171,7 +171,7 @@
 			h.control = append(h.control, g)
 		}
 	}
-	var strata []group
+	var strata []group // gateways that are compared with each other: those of one hall, or all that remain
 	var remaining group
 	for _, h := range slices.Sorted(maps.Keys(halls)) {
 		if g := halls[h]; len(g.changed) > 0 && len(g.control) > 0 {
@@ -192,8 +192,8 @@
 		for i := range strata {
 			strata[i].control = nil
 			for _, g := range strata[i].changed {
-				if u, ok := c.baseline[g]; ok {
-					strata[i].control, delta["before "+g] = append(strata[i].control, "before "+g), u
+				if before, ok := c.baseline[g]; ok {
+					strata[i].control, delta["before "+g] = append(strata[i].control, "before "+g), before
 				}
 			}
 		}
--- a/internal/fleet/change/drive.go
+++ b/internal/fleet/change/drive.go
@@ -99,17 +99,17 @@
 // returned permit needs an observation after the return.
 func statusUpdates(s *State, v *View) (out []StatusUpdate) {
 	all := slices.Sorted(maps.Keys(s.Subjects))
-	for _, t := range slices.Sorted(maps.Keys(v.Subjects)) {
-		if s.Subjects[t] == nil {
-			all = append(all, t)
+	for _, subject := range slices.Sorted(maps.Keys(v.Subjects)) {
+		if s.Subjects[subject] == nil {
+			all = append(all, subject)
 		}
 	}
-	for _, t := range all {
+	for _, subject := range all {
 		if len(out) == maxStatusUpdates {
 			break
 		}
-		agreed, observed := s.Subjects[t], v.Subjects[t]
-		update := StatusUpdate{Subject: t, SubjectStatus: SubjectStatus{Hall: observed.Hall, Health: observed.Health,
+		agreed, observed := s.Subjects[subject], v.Subjects[subject]
+		update := StatusUpdate{Subject: subject, SubjectStatus: SubjectStatus{Hall: observed.Hall, Health: observed.Health,
 			Incarnation: observed.Incarnation, Version: observed.Version, Config: observed.Config},
 			Witnesses: observed.Witnesses[:min(len(observed.Witnesses), maxListedWitnesses)]}
 		if agreed == nil {
@@ -118,10 +118,10 @@
 			}
 			continue
 		}
-		if observed.Hall == "" { // there are no reports on it: unavailable, otherwise unchanged
+		if observed.Hall == "" { // there are no reports on it: it becomes unavailable and is otherwise unchanged
 			update.SubjectStatus = *agreed
 			update.Health = Unavailable
-			if observed.Left && s.PermitOf(t) == nil {
+			if observed.Left && s.PermitOf(subject) == nil {
 				update.Forget = true
 				out = append(out, update)
 				continue
@@ -130,7 +130,7 @@
 		if update.Health == Healthy && s.missingWitnesses(update) > 0 {
 			update.Health = Cold // too few others confirm that it is healthy
 		}
-		p := s.PermitOf(t)
+		p := s.PermitOf(subject)
 		confirms := p != nil && p.Phase == Returned && agreed.Index <= p.ReturnIndex && update.Health == Healthy
 		if confirms || update.Health != agreed.Health || update.Incarnation != agreed.Incarnation || update.Version != agreed.Version ||
 			update.Config != agreed.Config || update.Hall != agreed.Hall {
@@ -140,7 +140,7 @@
 	return out
 }
 
-// permitSteps returns the entries by which permits move on now.
+// permitSteps returns the entries that move permits to their next phase now.
 func permitSteps(s *State, v *View) (out []Proposal) {
 	granted := false
 	for _, p := range s.Permits {
@@ -148,7 +148,8 @@
 		switch p.Phase {
 		case Requested:
 			if holderUnavailable { // the permit keeps its place for a time, since the holder may have been silent for a moment only
-				if k := s.Subjects[NewSubject(Gateway, p.Holder)]; k == nil || k.Health == Unavailable && v.At-k.At > holderAbsenceLimitMs {
+				if status := s.Subjects[NewSubject(Gateway, p.Holder)]; status == nil ||
+					status.Health == Unavailable && v.At-status.At > holderAbsenceLimitMs {
 					out = append(out, Proposal{"lapse", PermitBody{ID: p.ID, Why: p.Holder + " is out, and holds it"}})
 				}
 			} else if !granted && s.CheckGrant(p, v.Measurements) == nil {
@@ -167,9 +168,9 @@
 				out = append(out, Proposal{"return", PermitBody{ID: p.ID, Holder: p.Holder, Incarnation: v.Subjects[p.Subjects[0]].Incarnation}})
 			}
 		case Returned:
-			if !slices.ContainsFunc(p.Subjects, func(t Subject) bool {
-				k := s.Subjects[t]
-				return k != nil && (k.Health != Healthy || k.Index <= p.ReturnIndex)
+			if !slices.ContainsFunc(p.Subjects, func(subject Subject) bool {
+				status := s.Subjects[subject]
+				return status != nil && (status.Health != Healthy || status.Index <= p.ReturnIndex)
 			}) {
 				out = append(out, Proposal{"end", PermitBody{ID: p.ID}})
 			}
@@ -190,13 +191,14 @@
 // stepReached reports whether all subjects of a step have reached its target by their own reports. Reports of an incarnation before
 // the one that used the permit don't count; a worker must have a new incarnation.
 func (s *State) stepReached(r *Release, p *Permit, v *View) bool {
-	for _, t := range p.Subjects {
-		x, ok := v.Subjects[t]
-		k := SubjectStatus{Incarnation: x.Incarnation, Version: x.Version, Config: x.Config}
+	for _, subject := range p.Subjects {
+		observed, ok := v.Subjects[subject]
+		status := SubjectStatus{Incarnation: observed.Incarnation, Version: observed.Version, Config: observed.Config}
 		switch {
-		case !ok || x.Health == Unavailable || x.Incarnation < p.Incarnation:
+		case !ok || observed.Health == Unavailable || observed.Incarnation < p.Incarnation:
 			return false
-		case r.What == Workers && fmt.Sprint(x.Incarnation) == r.From[t], r.What != Workers && k.current(r.What) != r.Target(t):
+		case r.What == Workers && fmt.Sprint(observed.Incarnation) == r.From[subject],
+			r.What != Workers && status.current(r.What) != r.Target(subject):
 			return false
 		}
 	}
--- a/internal/fleet/change/evidence.go
+++ b/internal/fleet/change/evidence.go
@@ -14,7 +14,7 @@
 
 // cell holds the calls of one gateway in one interval for one class and kind of harm.
 type cell struct {
-	// baselineRatio is how many times as often as the fleet's average this gateway harmed calls before the release.
+	// baselineRatio is this gateway's rate of harmed calls before the release, divided by the fleet's average rate.
 	calls, harmed, baselineRatio float64
 }
 
@@ -40,15 +40,15 @@
 		label + " failed":  {count: func(t Tally) (float64, float64) { return float64(t.calls()), float64(t.Failed) }},
 	}
 	for _, q := range quantiles {
-		cut, below := 0, uint64(0)
-		for ; cut < Buckets-1; cut++ {
-			if below += sum.Latency[cut]; float64(below) >= q*float64(sum.Served) {
+		quantileBucket, below := 0, uint64(0)
+		for ; quantileBucket < Buckets-1; quantileBucket++ {
+			if below += sum.Latency[quantileBucket]; float64(below) >= q*float64(sum.Served) {
 				break
 			}
 		}
 		h[fmt.Sprintf("%s slow at %g%%", label, 100*q)] = harm{slow: true, count: func(t Tally) (float64, float64) {
 			above := uint64(0)
-			for _, n := range t.Latency[cut+1:] {
+			for _, n := range t.Latency[quantileBucket+1:] {
 				above += n
 			}
 			return float64(t.Served), float64(above)
@@ -63,8 +63,8 @@
 	for _, g := range gateways {
 		result := cell{baselineRatio: 1}
 		result.calls, result.harmed = kind.count(delta[g][class])
-		if u, ok := c.baseline[g]; ok && fleetCalls > 0 {
-			calls, harmed := kind.count(u[class])
+		if before, ok := c.baseline[g]; ok && fleetCalls > 0 {
+			calls, harmed := kind.count(before[class])
 			result.baselineRatio = (harmed + priorHarmedCalls) / (calls*fleetHarmed/fleetCalls + priorHarmedCalls)
 		}
 		out = append(out, result)
@@ -74,8 +74,8 @@
 
 // fleetBaseline returns the fleet's calls and harmed calls from before the release.
 func (c *Comparator) fleetBaseline(class int, kind harm) (calls, harmed float64) {
-	for _, u := range c.baseline {
-		a, b := kind.count(u[class])
+	for _, before := range c.baseline {
+		a, b := kind.count(before[class])
 		calls, harmed = calls+a, harmed+b
 	}
 	return calls, harmed
@@ -90,8 +90,9 @@
 	return s
 }
 
-// addEvidence adds the log likelihood ratios of one stratum in one interval to gain. allowed is how many times as often the changed
-// gateways may harm calls. n is calls weighted by baselineRatio, x harmed calls; 1 is the changed group, 0 the control group.
+// addEvidence adds the log likelihood ratios of one stratum in one interval to gain. allowed is how many times as often as
+// the control group the changed gateways may harm calls. n is calls weighted by baselineRatio, x harmed calls; 1 is the changed
+// group, 0 the control group.
 func addEvidence(gain []float64, allowed float64, changed, control []cell) {
 	var n1, n0, x1, x0 float64
 	for _, c := range changed {
@@ -103,7 +104,8 @@
 	if n1 == 0 || n0 == 0 || x1+x0 == 0 {
 		return
 	}
-	// changedShare is the probability that a harmed call is one of the changed group, if that harms calls so many times as often.
+	// changedShare is the probability that a harmed call belongs to the changed group, if that group harms calls the given number
+	// of times as often as the control group.
 	changedShare := func(times float64) float64 { return n1 * times / (n0 + n1*times) }
 	nullShare := changedShare(allowed)
 	for i, a := range alternatives {
--- a/internal/fleet/change/permit.go
+++ b/internal/fleet/change/permit.go
@@ -84,9 +84,9 @@
 }
 
 // PermitOf returns the permit that contains a subject, nil if there is none.
-func (s *State) PermitOf(t Subject) *Permit {
+func (s *State) PermitOf(subject Subject) *Permit {
 	for _, p := range s.Permits {
-		if slices.Contains(p.Subjects, t) {
+		if slices.Contains(p.Subjects, subject) {
 			return p
 		}
 	}
@@ -94,19 +94,19 @@
 }
 
 // countsUnavailable reports whether a subject counts towards the limits: it has a granted permit, or it is not healthy.
-func (s *State) countsUnavailable(t Subject) bool {
-	if k := s.Subjects[t]; k != nil && k.Health != Healthy {
+func (s *State) countsUnavailable(subject Subject) bool {
+	if status := s.Subjects[subject]; status != nil && status.Health != Healthy {
 		return true
 	}
-	p := s.PermitOf(t)
+	p := s.PermitOf(subject)
 	return p != nil && p.Phase > Requested
 }
 
 // CountedUnavailable returns all subjects that count as unavailable, sorted.
 func (s *State) CountedUnavailable() (out []Subject) {
-	for _, t := range slices.Sorted(maps.Keys(s.Subjects)) {
-		if s.countsUnavailable(t) {
-			out = append(out, t)
+	for _, subject := range slices.Sorted(maps.Keys(s.Subjects)) {
+		if s.countsUnavailable(subject) {
+			out = append(out, subject)
 		}
 	}
 	return out
@@ -120,7 +120,7 @@
 	return err
 }
 
-// checkGrant is CheckGrant that also returns the permits that a grant would overtake.
+// checkGrant does the work of CheckGrant, and also returns the permits that a grant would overtake.
 func (s *State) checkGrant(p *Permit, m Measurements) (overtaken []*Permit, err error) {
 	if err := s.CheckLimits(s.newlyUnavailable(p), m); err != nil {
 		return nil, err
--- a/internal/fleet/change/progress.go
+++ b/internal/fleet/change/progress.go
@@ -7,24 +7,24 @@
 
 // Target returns the value that a subject is to reach by a release, in its present direction. It is "" for workers while these are
 // restarted and not rolled back.
-func (r *Release) Target(t Subject) string {
+func (r *Release) Target(subject Subject) string {
 	if r.Backward {
-		return r.From[t]
+		return r.From[subject]
 	}
 	return r.To
 }
 
 // AtTarget reports whether a subject has reached the target of a release, is healthy and has no permit any more. A restart of
-// workers can't be undone, so a rollback counts them as at their target and ends where it is.
-func (s *State) AtTarget(r *Release, t Subject) bool {
-	k := s.Subjects[t]
+// workers can't be undone, so a rollback counts them as at their target and takes no further steps.
+func (s *State) AtTarget(r *Release, subject Subject) bool {
+	status := s.Subjects[subject]
 	switch {
-	case k == nil: // it has left the fleet
+	case status == nil: // it has left the fleet
 		return true
 	case r.What == Workers:
-		return r.Backward || fmt.Sprint(k.Incarnation) != r.From[t] && k.Health == Healthy && s.PermitOf(t) == nil
+		return r.Backward || fmt.Sprint(status.Incarnation) != r.From[subject] && status.Health == Healthy && s.PermitOf(subject) == nil
 	}
-	return k.current(r.What) == r.Target(t) && k.Health == Healthy && s.PermitOf(t) == nil
+	return status.current(r.What) == r.Target(subject) && status.Health == Healthy && s.PermitOf(subject) == nil
 }
 
 // CurrentBatch returns the subjects of a release's current batch, during a rollback only those that the release has touched.
@@ -34,7 +34,7 @@
 	}
 	w := slices.Clone(r.Batches[r.Batch])
 	if r.Backward {
-		w = slices.DeleteFunc(w, func(t Subject) bool { return !r.Touched[t] })
+		w = slices.DeleteFunc(w, func(subject Subject) bool { return !r.Touched[subject] })
 	}
 	return w
 }
@@ -43,8 +43,8 @@
 func (s *State) markTouched(p *Permit) {
 	for _, r := range s.Releases {
 		if r.ID == p.Release {
-			for _, t := range p.Subjects {
-				r.Touched[t] = true
+			for _, subject := range p.Subjects {
+				r.Touched[subject] = true
 			}
 		}
 	}
@@ -66,9 +66,9 @@
 	if err != nil || r.Status != Running {
 		return fmt.Errorf("release %d is not running", id)
 	}
-	for _, t := range r.CurrentBatch() {
-		if !s.AtTarget(r, t) {
-			return fmt.Errorf("%s has not reached its target %q, or is not healthy, or has a permit", t.Name(), r.Target(t))
+	for _, subject := range r.CurrentBatch() {
+		if !s.AtTarget(r, subject) {
+			return fmt.Errorf("%s has not reached its target %q, or is not healthy, or has a permit", subject.Name(), r.Target(subject))
 		}
 	}
 	r.ReachedAt = c.At
--- a/internal/fleet/change/release.go
+++ b/internal/fleet/change/release.go
@@ -68,14 +68,14 @@
 
 // Check sets the defaults of omitted fields, and returns an error if a field is invalid.
 func (r *Release) Check() error {
-	def := func(x *int64, d int64) {
+	setDefault := func(x *int64, d int64) {
 		if *x == 0 {
 			*x = d
 		}
 	}
-	def(&r.VerifyMs, 60_000)
-	def(&r.MaxVerifyMs, 5*r.VerifyMs)
-	def(&r.StepTimeoutMs, 60_000)
+	setDefault(&r.VerifyMs, 60_000)
+	setDefault(&r.MaxVerifyMs, 5*r.VerifyMs)
+	setDefault(&r.StepTimeoutMs, 60_000)
 	if r.Alpha == 0 {
 		r.Alpha = 0.01
 	}
@@ -142,10 +142,10 @@
 		kind = Worker
 	}
 	halls := map[string][]Subject{}
-	for _, t := range slices.Sorted(maps.Keys(s.Subjects)) {
-		if k := s.Subjects[t]; t.Kind() == kind && k.current(r.What) != r.To {
-			r.From[t] = k.current(r.What)
-			halls[k.Hall] = append(halls[k.Hall], t)
+	for _, subject := range slices.Sorted(maps.Keys(s.Subjects)) {
+		if status := s.Subjects[subject]; subject.Kind() == kind && status.current(r.What) != r.To {
+			r.From[subject] = status.current(r.What)
+			halls[status.Hall] = append(halls[status.Hall], subject)
 		}
 	}
 	if len(r.From) == 0 {
--- a/internal/fleet/change/simulated_fleet_test.go
+++ b/internal/fleet/change/simulated_fleet_test.go
@@ -179,10 +179,10 @@
 // are the permits that waited before the grant.
 func (f *simulatedFleet) checkAfterGrant(waiting []*Permit, id uint64) error {
 	unavailable, byHall := 0, map[string]int{}
-	for t, k := range f.state.Subjects {
-		if f.state.countsUnavailable(t) {
+	for subject, status := range f.state.Subjects {
+		if f.state.countsUnavailable(subject) {
 			unavailable++
-			byHall[k.Hall]++
+			byHall[status.Hall]++
 		}
 	}
 	p := f.state.Permit(id)
--- a/internal/fleet/change/simulation/simulation.go
+++ b/internal/fleet/change/simulation/simulation.go
@@ -80,15 +80,15 @@
 var classShares = [classCount]float64{0.55, 0.35, 0.10}
 
 // Run simulates one release.
-func Run(o Options) Result {
-	rng := rand.New(rand.NewPCG(o.Seed, 7))
+func Run(options Options) Result {
+	rng := rand.New(rand.NewPCG(options.Seed, 7))
 	var gateways []*gateway
-	state := change.NewState(o.Limits)
+	state := change.NewState(options.Limits)
 	var updates []change.StatusUpdate
-	for i := range o.Gateways {
-		g := &gateway{subject: change.NewSubject(change.Gateway, fmt.Sprintf("g%03d", i)), hall: fmt.Sprint("hall", i%o.Halls), version: "v1",
+	for i := range options.Gateways {
+		g := &gateway{subject: change.NewSubject(change.Gateway, fmt.Sprintf("g%03d", i)), hall: fmt.Sprint("hall", i%options.Halls), version: "v1",
 			incarnation: 1, failureFactor: 1, latencyFactor: 1}
-		if o.UnevenGateways {
+		if options.UnevenGateways {
 			g.failureFactor, g.latencyFactor = math.Exp(0.3*rng.NormFloat64()), math.Exp(0.05*rng.NormFloat64())
 		}
 		g.counts = change.Counts{Incarnation: 1, Classes: make([]change.Tally, classCount)}
@@ -99,8 +99,8 @@
 	}
 	state.UpdateStatuses(change.Context{Index: 1, At: 1}, updates)
 	driver := change.NewDriver()
-	s := &simulator{options: o, rng: rng, gateways: gateways, state: state, driver: driver, index: 1}
-	for s.now = tickMs; s.now <= o.MaxMs; s.now += tickMs {
+	s := &simulator{options: options, rng: rng, gateways: gateways, state: state, driver: driver, index: 1}
+	for s.now = tickMs; s.now <= options.MaxMs; s.now += tickMs {
 		if s.step() {
 			break
 		}
--- a/internal/fleet/change/steps.go
+++ b/internal/fleet/change/steps.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// releaseSteps returns the entries by which a release moves on now, in either direction.
+// releaseSteps returns the entries that move a release on now, in either direction.
 func (d *Driver) releaseSteps(s *State, r *Release, v *View) (out []Proposal) {
 	halt := func(format string, a ...any) []Proposal {
 		return append(out, Proposal{"halt", ReleaseBody{r.ID, fmt.Sprintf(format, a...)}})
@@ -23,18 +23,18 @@
 		return append(out, Proposal{"revert", ReleaseBody{r.ID, "a freeze begins, and there is just time to go back"}})
 	}
 	reached := true
-	for _, t := range r.CurrentBatch() {
-		if s.AtTarget(r, t) {
+	for _, subject := range r.CurrentBatch() {
+		if s.AtTarget(r, subject) {
 			continue
 		}
 		reached = false
-		if s.PermitOf(t) != nil {
+		if s.PermitOf(subject) != nil {
 			continue
 		}
-		p := &Permit{Subjects: []Subject{t}, Release: r.ID, Why: "release " + r.Name}
-		unavailable := v.Subjects[t].Health == Unavailable
-		if t.Kind() == Gateway && !unavailable {
-			p.Holder = t.Name()
+		p := &Permit{Subjects: []Subject{subject}, Release: r.ID, Why: "release " + r.Name}
+		unavailable := v.Subjects[subject].Health == Unavailable
+		if subject.Kind() == Gateway && !unavailable {
+			p.Holder = subject.Name()
 		}
 		if !unavailable || r.Backward { // a rollback doesn't wait for unavailable subjects, as the change may be what made them so
 			out = append(out, Proposal{"ask", p})
@@ -59,26 +59,27 @@
 		return "the freeze " + v.FreezePeriod + " has begun"
 	}
 	lost := 0
-	for t := range r.From {
-		if k := s.Subjects[t]; t.Kind() == Gateway && k != nil && k.UnplannedStart >= max(r.Begun, r.ResumedAt, v.At-unplannedStartWindowMs) {
+	for subject := range r.From {
+		if status := s.Subjects[subject]; subject.Kind() == Gateway && status != nil &&
+			status.UnplannedStart >= max(r.Begun, r.ResumedAt, v.At-unplannedStartWindowMs) {
 			lost++
 		}
 	}
 	if lost > 1 && 2*lost > len(r.From) {
 		return fmt.Sprintf("%d of %d gateways have lost power, or were started anew by others", lost, len(r.From))
 	}
-	for _, t := range r.CurrentBatch() {
-		p, k := s.PermitOf(t), s.Subjects[t]
-		if k == nil {
+	for _, subject := range r.CurrentBatch() {
+		permit, status := s.PermitOf(subject), s.Subjects[subject]
+		if status == nil {
 			continue
 		}
 		switch {
-		case p != nil && p.Release == r.ID && p.Phase >= InUse && v.At-p.At > r.StepTimeoutMs:
-			return fmt.Sprintf("%s did not come to %q in %d s", t.Name(), r.Target(t), r.StepTimeoutMs/1000)
-		case p == nil && r.Touched[t] && !r.Backward && k.Health == Healthy && !s.AtTarget(r, t):
-			return fmt.Sprintf("%s came back at %q", t.Name(), k.current(r.What))
-		case p == nil && k.Health != Healthy && v.At-k.At > r.StepTimeoutMs:
-			return fmt.Sprintf("%s is %s for %d s", t.Name(), k.Health, (v.At-k.At)/1000)
+		case permit != nil && permit.Release == r.ID && permit.Phase >= InUse && v.At-permit.At > r.StepTimeoutMs:
+			return fmt.Sprintf("%s did not come to %q in %d s", subject.Name(), r.Target(subject), r.StepTimeoutMs/1000)
+		case permit == nil && r.Touched[subject] && !r.Backward && status.Health == Healthy && !s.AtTarget(r, subject):
+			return fmt.Sprintf("%s came back at %q", subject.Name(), status.current(r.What))
+		case permit == nil && status.Health != Healthy && v.At-status.At > r.StepTimeoutMs:
+			return fmt.Sprintf("%s is %s for %d s", subject.Name(), status.Health, (v.At-status.At)/1000)
 		}
 	}
 	if r.Backward || r.What == Workers {
@@ -93,7 +94,7 @@
 		d.comparator = NewComparator(r.Alpha, r.MaxFailureRatio, r.MaxSlowRatio, v.Classes, d.baseline)
 		d.comparedRelease = r.ID
 	}
-	if d.comparedBatch != r.Batch { // the evidence is kept from batch to batch; only the calls are counted anew
+	if d.comparedBatch != r.Batch { // the evidence carries over to the next batch; only the count of calls starts again
 		d.comparedBatch = r.Batch
 		d.comparator.ResetChangedCalls()
 	}
--- a/internal/fleet/change/subject.go
+++ b/internal/fleet/change/subject.go
@@ -24,15 +24,15 @@
 func NewSubject(kind, name string) Subject { return Subject(kind + ":" + name) }
 
 // Kind returns the part before the colon, Gateway or Worker if the subject is valid.
-func (t Subject) Kind() string { k, _, _ := strings.Cut(string(t), ":"); return k }
+func (s Subject) Kind() string { kind, _, _ := strings.Cut(string(s), ":"); return kind }
 
 // Name returns the name without the kind.
-func (t Subject) Name() string { _, n, _ := strings.Cut(string(t), ":"); return n }
+func (s Subject) Name() string { _, name, _ := strings.Cut(string(s), ":"); return name }
 
 // Check returns an error unless the kind is known and the name has 1 to 256 bytes.
-func (t Subject) Check() error {
-	if k, n := t.Kind(), t.Name(); k != Gateway && k != Worker || n == "" || len(n) > 256 {
-		return fmt.Errorf("%q is neither a gateway nor a worker", t)
+func (s Subject) Check() error {
+	if k, n := s.Kind(), s.Name(); k != Gateway && k != Worker || n == "" || len(n) > 256 {
+		return fmt.Errorf("%q is neither a gateway nor a worker", s)
 	}
 	return nil
 }
@@ -150,11 +150,10 @@
 }
 
 // joinNames returns the sorted names of subjects, separated by spaces, for messages to operators.
-
 func joinNames(subjects []Subject) string {
 	var out []string
-	for _, t := range subjects {
-		out = append(out, t.Name())
+	for _, subject := range subjects {
+		out = append(out, subject.Name())
 	}
 	slices.Sort(out)
 	return strings.Join(out, " ")
--- a/internal/fleet/replog/eligibility.go
+++ b/internal/fleet/replog/eligibility.go
@@ -81,7 +81,7 @@
 	Up         bool
 	DownForMs  int64
 	Behind     uint64 // entries that it has not acknowledged
-	Responsive bool   // it has answered the leader within an election timeout
+	Responsive bool   // it has sent the leader a message within the last election timeout
 }
 
 // Next returns the next voter change, if one is due; remove says that the voter is to be removed. self is the ID of the
--- a/internal/fleet/replog/follow.go
+++ b/internal/fleet/replog/follow.go
@@ -7,8 +7,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The first byte of voter changes, which raft itself puts into the log, in the form sent to followers. No encoded Entry
-// begins with either byte.
+// Raft itself puts voter changes into the log. In the form that is sent to followers they begin with one of these bytes,
+// with which no encoded Entry begins.
 const (
 	voterChangeMark  = 0xc1 // unused in MessagePack
 	voterRemovalMark = 0xc7 // a MessagePack extension, which is never an Entry
--- a/internal/fleet/replog/kinds.go
+++ b/internal/fleet/replog/kinds.go
@@ -179,8 +179,8 @@
 
 // hallsOf returns the halls of the given subjects, as far as they are known.
 func (s *State) hallsOf(subjects []change.Subject) (halls []string) {
-	for _, t := range subjects {
-		if known := s.Change.Subjects[t]; known != nil {
+	for _, subject := range subjects {
+		if known := s.Change.Subjects[subject]; known != nil {
 			halls = append(halls, known.Hall)
 		}
 	}
--- a/internal/fleet/replog/network_test.go
+++ b/internal/fleet/replog/network_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// pump does what a member's group wants done; now says whether its write reaches the disk at once.
+// pump carries out the outputs of a member's group; now says whether a write reaches the disk at once.
 func (m *member) pump(now bool) {
 	for m.group != nil {
 		if m.pendingOutput == nil {
@@ -202,7 +202,8 @@
 		return nil
 	}
 	n.seq++
-	body, err := msgpack.Marshal(&change.StatusUpdateBody{Updates: []change.StatusUpdate{{Subject: change.NewSubject(change.Worker, fmt.Sprint("w", n.seq%20)),
+	body, err := msgpack.Marshal(&change.StatusUpdateBody{Updates: []change.StatusUpdate{{
+		Subject:       change.NewSubject(change.Worker, fmt.Sprint("w", n.seq%20)),
 		SubjectStatus: change.SubjectStatus{Hall: "h0", Health: change.Cold, Incarnation: n.seq}}}})
 	if err != nil {
 		return err
--- a/internal/plan/bounds.go
+++ b/internal/plan/bounds.go
@@ -17,7 +17,7 @@
 		return s.copyCost[m][w] * gainScale / max(1, min(s.Models[m].Lanes*s.laneMcores[w], s.cpuMcores[w], s.modelMcores[m]))
 	}
 	sum := int64(1 << 62)
-	if s.soloBounds != nil && s.decided < len(s.candidates) { // bound the models up to the current one jointly, later ones singly
+	if s.modelBounds != nil && s.decided < len(s.candidates) { // bound the models up to the current one jointly, later ones singly
 		lastRank := s.modelRank[s.candidates[s.decided].model]
 		included := func(m int) bool { return s.modelRank[m] <= lastRank }
 		sum = s.laterBounds[lastRank] - s.minCost(included)
@@ -41,15 +41,15 @@
 // minCost returns the least that the included models can cost, given the decisions so far. It counts undecided copies only if their
 // cost is negative, that is, if keeping them is cheaper than unloading them.
 func (s *search) minCost(included func(m int) bool) (sum int64) {
-	if s.soloUnloadCosts == nil {
+	if s.modelUnloadCosts == nil {
 		sum = s.unloadAllCost
 	}
 	for m := range s.placed {
 		if !included(m) {
 			continue
 		}
-		if s.soloUnloadCosts != nil {
-			sum += s.soloUnloadCosts[m]
+		if s.modelUnloadCosts != nil {
+			sum += s.modelUnloadCosts[m]
 		}
 		for w, on := range s.placed[m] {
 			if on {
--- a/internal/plan/greedy.go
+++ b/internal/plan/greedy.go
@@ -95,7 +95,7 @@
 	if len(demands) == 0 {
 		return
 	}
-	// serve passes to take what a copy on worker w can serve, and returns its worth.
+	// serve calls take with the work of each demand that a copy on worker w can serve, and returns the gain.
 	serve := func(w int, take func(d int, mcores int64)) (gain int64) {
 		freeMcores := min(cpuMcores[w], laneMcores[w])
 		slices.SortStableFunc(demands, func(a, b int) int { return cmp.Compare(s.unitGain(m, b, w), s.unitGain(m, a, w)) })
--- a/internal/plan/problem.go
+++ b/internal/plan/problem.go
@@ -112,17 +112,17 @@
 	if err := decoder.Decode(problem); err != nil {
 		var typeError *json.UnmarshalTypeError
 		if errors.As(err, &typeError) {
-			return nil, fmt.Errorf("%s: %s can't be a figure of that kind", typeError.Field, typeError.Value)
+			return nil, fmt.Errorf("%s: cannot hold a JSON %s", typeError.Field, typeError.Value)
 		}
 		return nil, fmt.Errorf("byte %d: %w", decoder.InputOffset(), err)
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return nil, fmt.Errorf("byte %d: more than one problem", decoder.InputOffset())
+		return nil, fmt.Errorf("byte %d: unexpected data after the problem", decoder.InputOffset())
 	}
 	return problem, problem.Check()
 }
 
-// checker keeps the first error of an input, prefixed with the field.
+// checker records the first error of an input, prefixed with the field.
 type checker struct{ err error }
 
 func (c *checker) fail(field, format string, args ...any) {
@@ -147,7 +147,7 @@
 func (p *Problem) Check() error {
 	check := &checker{}
 	if len(p.Workers) > maxWorkers || len(p.Models) > maxModels {
-		check.fail("workers, models", "%d and %d are more than %d and %d", len(p.Workers), len(p.Models), maxWorkers, maxModels)
+		check.fail("workers, models", "got %d and %d, at most %d and %d are allowed", len(p.Workers), len(p.Models), maxWorkers, maxModels)
 		return check.err
 	}
 	halls, workers, models := map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -156,7 +156,7 @@
 		check.checkName(field+".id", worker.ID)
 		check.checkName(field+".hall", worker.Hall)
 		if workers[worker.ID] {
-			check.fail(field+".id", "%q stands there twice", worker.ID)
+			check.fail(field+".id", "%q appears twice", worker.ID)
 		}
 		workers[worker.ID], halls[worker.Hall] = true, true
 		if worker.State == "" {
@@ -175,7 +175,7 @@
 		model, field := &p.Models[i], fmt.Sprintf("models[%d]", i)
 		check.checkName(field+".id", model.ID)
 		if models[model.ID] {
-			check.fail(field+".id", "%q stands there twice", model.ID)
+			check.fail(field+".id", "%q appears twice", model.ID)
 		}
 		models[model.ID] = true
 		check.checkRange(field+".memory_mb", model.MemoryMB, 0, maxValue)
@@ -186,25 +186,25 @@
 		check.checkRange(field+".halls", model.MinHalls, 0, maxWorkers)
 		for j, id := range model.Pins {
 			if !workers[id] || slices.Contains(model.Pins[:j], id) {
-				check.fail(fmt.Sprintf("%s.pins[%d]", field, j), "%q is unknown or stands there twice", id)
+				check.fail(fmt.Sprintf("%s.pins[%d]", field, j), "%q is unknown or appears twice", id)
 			}
 		}
 		for j, id := range model.Excludes {
 			if !workers[id] || slices.Contains(model.Excludes[:j], id) {
-				check.fail(fmt.Sprintf("%s.excludes[%d]", field, j), "%q is unknown or stands there twice", id)
+				check.fail(fmt.Sprintf("%s.excludes[%d]", field, j), "%q is unknown or appears twice", id)
 			}
 		}
 		if len(model.Calls) > maxCalls {
-			check.fail(field+".calls", "%d are more than %d", len(model.Calls), maxCalls)
+			check.fail(field+".calls", "got %d, at most %d are allowed", len(model.Calls), maxCalls)
 		}
 		for j, call := range model.Calls {
 			field := fmt.Sprintf("%s.calls[%d]", field, j)
 			check.checkName(field+".class", call.Class)
 			if slices.ContainsFunc(model.Calls[:j], func(other Call) bool { return other.Class == call.Class && other.Hall == call.Hall }) {
-				check.fail(field, "class %q from hall %q stands there twice", call.Class, call.Hall)
+				check.fail(field, "class %q from hall %q appears twice", call.Class, call.Hall)
 			}
 			if !halls[call.Hall] {
-				check.fail(field+".hall", "%q has no worker", call.Hall)
+				check.fail(field+".hall", "no worker is in hall %q", call.Hall)
 			}
 			check.checkRange(field+".mcores", call.Mcores, 0, maxValue)
 			check.checkRange(field+".worth", call.Worth, 0, maxPrice)
@@ -213,7 +213,7 @@
 	seen := map[Copy]bool{}
 	for i, loaded := range p.Present {
 		if field := fmt.Sprintf("present[%d]", i); !models[loaded.Model] || !workers[loaded.Worker] || seen[loaded] {
-			check.fail(field, "model %q at worker %q is unknown or stands there twice", loaded.Model, loaded.Worker)
+			check.fail(field, "model %q at worker %q is unknown or appears twice", loaded.Model, loaded.Worker)
 		}
 		seen[loaded] = true
 	}
--- a/internal/plan/score.go
+++ b/internal/plan/score.go
@@ -53,16 +53,16 @@
 	for i, m := range problem.Models {
 		modelIndex[m.ID] = i
 		row := func() []bool { return make([]bool, len(problem.Workers)) }
-		present, pins, may := row(), row(), row()
+		present, pins, allowed := row(), row(), row()
 		for j, w := range problem.Workers {
-			may[j] = w.State == "ready" && !slices.Contains(m.Excludes, w.ID)
+			allowed[j] = w.State == "ready" && !slices.Contains(m.Excludes, w.ID)
 			pins[j] = slices.Contains(m.Pins, w.ID)
 		}
 		minHalls := int(m.MinHalls)
 		if problem.Limits.SurviveHall && len(m.Calls) > 0 {
 			minHalls = max(minHalls, 2)
 		}
-		in.present, in.pins, in.allowed = append(in.present, present), append(in.pins, pins), append(in.allowed, may)
+		in.present, in.pins, in.allowed = append(in.present, present), append(in.pins, pins), append(in.allowed, allowed)
 		in.minHalls = append(in.minHalls, minHalls)
 		var demandHall []int
 		for _, call := range m.Calls {
--- a/internal/plan/search.go
+++ b/internal/plan/search.go
@@ -12,25 +12,25 @@
 type search struct {
 	*instance
 	*stepBudget
-	net             network
-	usesFlows       bool        // the problem is small enough for network flows and branching
-	candidates      []candidate // in the order in which they are decided
-	candidateIndex  [][]int     // by model and worker: index in candidates, -1 if not a candidate
-	decided         int         // number of candidates that are decided, from the first on
-	placed          [][]bool    // copies of the present placement
-	usedMB          []int64     // by worker: memory of the placed copies
-	copyCount       []int       // by model: number of placed copies
-	modelMcores     []int64     // by model: work of all its calls
-	soloBounds      []int64     // by model: upper bound on its score if it had all workers to itself; nil if there is one model
-	soloUnloadCosts []int64     // by model: its part of unloadAllCost
-	modelRank       []int       // by model: its place in the order of candidates
-	laterBounds     []int64     // by rank: sum of soloBounds of the models of higher rank
-	bestPlaced      [][]bool    // copies of the best placement found
-	shares          []share     // of bestPlaced, if usesFlows is not set
-	score           int64       // of bestPlaced
-	bound           int64       // no placement has a higher score
-	loads           int64       // placed copies that are not present
-	fetchMs         int64       // their load time
+	net              network
+	usesFlows        bool        // the problem is small enough for network flows and branching
+	candidates       []candidate // in the order in which they are decided
+	candidateIndex   [][]int     // by model and worker: index in candidates, -1 if not a candidate
+	decided          int         // number of candidates that are decided, from the first on
+	placed           [][]bool    // copies of the current placement
+	usedMB           []int64     // by worker: memory of the placed copies
+	copyCount        []int       // by model: number of placed copies
+	modelMcores      []int64     // by model: work of all its calls
+	modelBounds      []int64     // by model: upper bound on its score if it had all workers to itself; nil if there is one model
+	modelUnloadCosts []int64     // by model: its part of unloadAllCost
+	modelRank        []int       // by model: its place in the order of candidates
+	laterBounds      []int64     // by rank: sum of modelBounds of the models of higher rank
+	bestPlaced       [][]bool    // copies of the best placement found
+	shares           []share     // of bestPlaced, if usesFlows is not set
+	score            int64       // of bestPlaced
+	bound            int64       // no placement has a higher score
+	loads            int64       // placed copies that are not present
+	fetchMs          int64       // their load time
 }
 
 // grid returns a zeroed table by model and worker.
@@ -54,9 +54,9 @@
 	s.improveGreedily(start)
 	s.bound = s.knapsackBound()
 	if len(s.Models) > 1 {
-		s.soloBounds, s.soloUnloadCosts = s.singleModelBounds(s.stepBudget.maxSteps / singleModelDivisor)
+		s.modelBounds, s.modelUnloadCosts = s.singleModelBounds(s.stepBudget.maxSteps / singleModelDivisor)
 		sum := int64(0)
-		for _, v := range s.soloBounds {
+		for _, v := range s.modelBounds {
 			sum += v
 		}
 		s.bound = min(s.bound, sum)
@@ -98,7 +98,7 @@
 	for i, p := range s.candidates {
 		s.candidateIndex[p.model][p.worker] = i
 	}
-	if s.soloBounds == nil {
+	if s.modelBounds == nil {
 		return
 	}
 	order := make([]int, len(s.Models))
@@ -110,7 +110,7 @@
 	sum := int64(0)
 	for i := len(order) - 1; i >= 0; i-- {
 		s.modelRank[order[i]], s.laterBounds[i] = i, sum
-		sum += s.soloBounds[order[i]]
+		sum += s.modelBounds[order[i]]
 	}
 }
 
@@ -138,7 +138,7 @@
 		(s.Limits.Loads == nil || s.loads <= *s.Limits.Loads) && (s.Limits.FetchMs == nil || s.fetchMs <= *s.Limits.FetchMs)
 }
 
-// canBeSatisfied reports whether the placed and undecided copies of a model suffice for its least copies and halls.
+// canBeSatisfied reports whether the placed and undecided copies of a model suffice for its least numbers of copies and halls.
 func (s *search) canBeSatisfied(m int) bool {
 	copies, halls := 0, map[int]bool{}
 	for w := range s.Workers {
@@ -168,7 +168,7 @@
 	return sum
 }
 
-// placementValue returns the score of the present placement with its best shares.
+// placementValue returns the score of the current placement with its best shares.
 func (s *search) placementValue() int64 {
 	gain, _, _ := s.assignShares(&s.net, func(m, w int) bool { return s.placed[m][w] }, nil, s.spendPath)
 	return gain - s.placementCost()
--- a/internal/plan/verify.go
+++ b/internal/plan/verify.go
@@ -7,7 +7,7 @@
 func Verify(problem *Problem, result *Plan) error {
 	if result.Verdict != Optimal && result.Verdict != BestFound {
 		if len(result.Copies)+len(result.Shares)+len(result.Moves) > 0 {
-			return fmt.Errorf("half a plan under the verdict %q", result.Verdict)
+			return fmt.Errorf("the plan has copies, shares or moves although its verdict is %q", result.Verdict)
 		}
 		return nil
 	}
@@ -31,7 +31,8 @@
 	for _, placed := range result.Copies {
 		m, w := models[placed.Model], workers[placed.Worker]
 		if planned[placed] || m.ID == "" || w.State != "ready" {
-			return fmt.Errorf("copy of %s at %s", placed.Model, placed.Worker)
+			return fmt.Errorf("copy of model %s on worker %s is repeated, names an unknown model or is on a worker that is not ready",
+				placed.Model, placed.Worker)
 		}
 		planned[placed] = true
 		memoryMB[w.ID] += m.MemoryMB
@@ -55,12 +56,12 @@
 	}
 	for id, mb := range memoryMB {
 		if roomMB := workers[id].MemoryMB * (100 - problem.Limits.HeadroomPercent) / 100; mb > roomMB {
-			return fmt.Errorf("%d MB at %s, %d fit", mb, id, roomMB)
+			return fmt.Errorf("copies on worker %s need %d MB, %d MB are available", id, mb, roomMB)
 		}
 	}
 	if maxLoads := problem.Limits.Loads; maxLoads != nil && loads > *maxLoads ||
 		problem.Limits.FetchMs != nil && fetchMs > *problem.Limits.FetchMs {
-		return fmt.Errorf("%d loads of %d ms", loads, fetchMs)
+		return fmt.Errorf("%d loads that take %d ms exceed limits.loads or limits.fetch_ms", loads, fetchMs)
 	}
 	for _, m := range problem.Models {
 		minHalls := m.MinHalls
@@ -68,16 +69,17 @@
 			minHalls = 2
 		}
 		if copies[m.ID] < m.MinCopies || m.MaxCopies > 0 && copies[m.ID] > m.MaxCopies || int64(len(halls[m.ID])) < minHalls {
-			return fmt.Errorf("%d copies of %s in %d halls", copies[m.ID], m.ID, len(halls[m.ID]))
+			return fmt.Errorf("model %s has %d copies in %d halls, which breaks least_copies, most_copies, halls or limits.survive_hall",
+				m.ID, copies[m.ID], len(halls[m.ID]))
 		}
 		for _, id := range m.Pins {
 			if !planned[Copy{m.ID, id}] {
-				return fmt.Errorf("%s is not at %s", m.ID, id)
+				return fmt.Errorf("model %s is pinned to worker %s but has no copy there", m.ID, id)
 			}
 		}
 		for _, id := range m.Excludes {
 			if planned[Copy{m.ID, id}] {
-				return fmt.Errorf("%s is at %s", m.ID, id)
+				return fmt.Errorf("model %s is excluded from worker %s but has a copy there", m.ID, id)
 			}
 		}
 	}
@@ -94,12 +96,13 @@
 	for _, share := range result.Shares {
 		key, placed := demand{share.Model, share.Class, share.Hall}, Copy{share.Model, share.Worker}
 		if !planned[placed] || share.Mcores <= 0 {
-			return fmt.Errorf("%d served of %s at %s", share.Mcores, share.Model, share.Worker)
+			return fmt.Errorf("share of %d mcores of model %s on worker %s is not positive or there is no copy",
+				share.Mcores, share.Model, share.Worker)
 		}
 		cpuMcores[share.Worker] += share.Mcores
 		laneMcores[placed] += share.Mcores
 		if wanted[key] -= share.Mcores; wanted[key] < 0 {
-			return fmt.Errorf("more of %v is served than is wanted", key)
+			return fmt.Errorf("the shares of demand %v exceed its work", key)
 		}
 		breakdown.Worth += share.Mcores * worth[key]
 		if workers[share.Worker].Hall != share.Hall {
@@ -108,17 +111,17 @@
 	}
 	for id, mcores := range cpuMcores {
 		if w := workers[id]; mcores > w.Cores*w.SpeedPercent*10*w.CapacityPercent/100 {
-			return fmt.Errorf("%d mcores at %s", mcores, id)
+			return fmt.Errorf("%d mcores on worker %s are more than its cores can serve", mcores, id)
 		}
 	}
 	for placed, mcores := range laneMcores {
 		if mcores > models[placed.Model].Lanes*workers[placed.Worker].SpeedPercent*10 {
-			return fmt.Errorf("%d mcores on the lanes of %s at %s", mcores, placed.Model, placed.Worker)
+			return fmt.Errorf("%d mcores are more than the lanes of model %s on worker %s can serve", mcores, placed.Model, placed.Worker)
 		}
 	}
 	if breakdown != result.Breakdown || breakdown.Score() != result.Score || result.Score > result.Bound {
-		return fmt.Errorf("price %+v, score %d and bound %d are told as %+v, %d", breakdown, breakdown.Score(), result.Bound,
-			result.Breakdown, result.Score)
+		return fmt.Errorf("computed price %+v and score %d (bound %d), but the plan has price %+v and score %d", breakdown,
+			breakdown.Score(), result.Bound, result.Breakdown, result.Score)
 	}
 	for _, move := range result.Moves {
 		moved := Copy{move.Model, move.Worker}
@@ -130,10 +133,10 @@
 			present[moved] = true
 			heldMB[move.Worker] += models[move.Model].MemoryMB
 			if w := workers[move.Worker]; heldMB[move.Worker] > w.MemoryMB*(100-problem.Limits.HeadroomPercent)/100 {
-				return fmt.Errorf("%s of %s finds no room at %s", move.Do, move.Model, move.Worker)
+				return fmt.Errorf("%s of model %s on worker %s exceeds the memory of the worker", move.Do, move.Model, move.Worker)
 			}
 		default:
-			return fmt.Errorf("%s of %s at %s", move.Do, move.Model, move.Worker)
+			return fmt.Errorf("%s of model %s on worker %s does not fit the copies loaded at that point", move.Do, move.Model, move.Worker)
 		}
 	}
 	if len(present) != len(planned) {
--- a/tools/comeback/main.go
+++ b/tools/comeback/main.go
@@ -53,10 +53,10 @@
 func simulate(gateways int, seed uint64) (recovered time.Duration, updates float64, peakLoads int) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var admissions []*recover.Admission
-	share := recover.AdmissionConfig{ClassWorth: []float64{1, 3, 5}, FormerRate: callsPerSecond, FirstLoads: int(storeLoadsPerGateway * float64(gateways) / 2),
-		Gateways: gateways}
+	config := recover.AdmissionConfig{ClassWorth: []float64{1, 3, 5}, FormerRate: callsPerSecond,
+		FirstLoads: int(storeLoadsPerGateway * float64(gateways) / 2), Gateways: gateways}
 	for range gateways {
-		admissions = append(admissions, recover.NewAdmission(share, coldCapacity, 0))
+		admissions = append(admissions, recover.NewAdmission(config, coldCapacity, 0))
 	}
 	names := make([]string, functionsPerGateway*gateways)
 	for i := range names {
@@ -87,8 +87,8 @@
 		for _, a := range admissions {
 			for n := poisson(rng, callsPerSecond*tick.Seconds()); n > 0; n-- {
 				function := int(min(rng.ExpFloat64()/4, 0.999) * float64(len(names)))
-				half := int(now / (500 * time.Millisecond))
-				offered[half]++
+				halfSecond := int(now / (500 * time.Millisecond))
+				offered[halfSecond]++
 				if !a.Admit(now, rng.IntN(3), names[function]) {
 					continue
 				}
@@ -104,14 +104,14 @@
 					a.RecordOutcome(names[function], ok)
 				}
 				if ok {
-					served[half]++
+					served[halfSecond]++
 				}
 			}
 		}
 	}
-	for half := 0; half < int(simulatedTime/(500*time.Millisecond)); half++ {
-		if float64(served[half]) >= 0.9*float64(offered[half]) {
-			return time.Duration(half) * 500 * time.Millisecond, float64(finished) / float64(gateways), peakLoads
+	for halfSecond := 0; halfSecond < int(simulatedTime/(500*time.Millisecond)); halfSecond++ {
+		if float64(served[halfSecond]) >= 0.9*float64(offered[halfSecond]) {
+			return time.Duration(halfSecond) * 500 * time.Millisecond, float64(finished) / float64(gateways), peakLoads
 		}
 	}
 	return simulatedTime, float64(finished) / float64(gateways), peakLoads
--- a/tools/rollout/main.go
+++ b/tools/rollout/main.go
@@ -28,7 +28,7 @@
 
 // compareStrategies prints the mean costs of each strategy and fault in a fleet of 24 gateways, over the seeds 1 to n.
 func compareStrategies(n uint64) {
-	fmt.Printf("24 gateways, seeds 1 to %d, means\n%-14s %-8s %10s %12s %10s %8s\n", n, "way", "fault", "lost calls", "part of all", "reached",
+	fmt.Printf("24 gateways, seeds 1 to %d, means\n%-14s %-8s %10s %12s %10s %8s\n", n, "strategy", "fault", "lost calls", "part of all", "reached",
 		"minutes")
 	for _, strategy := range []simulation.Strategy{simulation.AllAtOnce, simulation.FixedBatches, simulation.Supervised} {
 		for _, fault := range []simulation.Fault{simulation.NoFault, simulation.Crash, simulation.OneClassFails, simulation.SlowTail,
@@ -53,7 +53,7 @@
 	fmt.Printf("%s, %d cores\n", runtime.GOARCH, runtime.NumCPU())
 	compareStrategies(*seeds)
 	var whole, halt, bytes, messages plotter.XYs
-	fmt.Printf("\ngateways  whole min  halted s  reached  out most  entries  kB/s a gateway  messages/s a gateway  kB/s at the leader\n")
+	fmt.Printf("\ngateways  whole min  halted s  reached  max down  entries  kB/s a gateway  messages/s a gateway  kB/s at the leader\n")
 	for _, n := range []int{6, 12, 24, 50, 100, 200, 300} {
 		o := options(n, 1)
 		r := simulation.Run(o)
