--- a/cmd/quillrail-lab/scaleplot.go
+++ b/cmd/quillrail-lab/scaleplot.go
@@ -22,7 +22,7 @@
 
 // plotScale draws all charts with at least two points as SVG files into a folder.
 func plotScale(r *scale.Result, folder string) error {
-	var call, timer, list, core, bytes, force plotter.XYs
+	var call, timer, list, core, bytes, inForce plotter.XYs
 	for _, x := range r.Routers {
 		if x.Functions == r.Routers[0].Functions {
 			w := float64(x.Workers)
@@ -32,15 +32,15 @@
 	}
 	for _, x := range r.Fleets {
 		g := float64(x.Gateways)
-		core, bytes, force = append(core, plotter.XY{X: g, Y: 100 * x.CorePart}), append(bytes, plotter.XY{X: g, Y: x.SentPerSec}),
-			append(force, plotter.XY{X: g, Y: x.InForceMs[2]})
+		core, bytes, inForce = append(core, plotter.XY{X: g, Y: 100 * x.CorePart}), append(bytes, plotter.XY{X: g, Y: x.SentPerSec}),
+			append(inForce, plotter.XY{X: g, Y: x.InForceMs[2]})
 	}
 	workers, gateways := float64(scale.Target.Workers), float64(scale.Target.Gateways)
 	for _, c := range []chart{{"scale-first-call", "workers", "first call of a function, us", workers, 200, call},
 		{"scale-timer", "workers", "timer, us", workers, 50, timer}, {"scale-list", "workers", "list, MB", workers, 16, list},
 		{"scale-core", "gateways", "a gateway's control, % of a core", gateways, 100 * scale.Target.CorePart, core},
 		{"scale-bytes", "gateways", "a gateway's control, bytes sent a second", gateways, scale.Target.BytesPerSec, bytes},
-		{"scale-force", "gateways", "a change in force everywhere, ms", gateways, float64(scale.Target.InForce.Milliseconds()), force}} {
+		{"scale-force", "gateways", "a change in force everywhere, ms", gateways, float64(scale.Target.InForce.Milliseconds()), inForce}} {
 		if len(c.points) < 2 {
 			continue
 		}
--- a/internal/fleettest/agreed_test.go
+++ b/internal/fleettest/agreed_test.go
@@ -100,7 +100,7 @@
 	return text
 }
 
-// requireNoLostCalls fails the test if a call was lost. Calls that a killed or stopped gateway had in flight don't count.
+// requireNoLostCalls fails the test if a call was lost. Calls that a killed or paused gateway had in flight don't count.
 func requireNoLostCalls(t *testing.T, totals lab.Totals, traffic *lab.Traffic) {
 	t.Helper()
 	if totals.Unanswered+totals.Unreached > 0 {
@@ -110,7 +110,7 @@
 
 // Two gateways are to be drained at once where the limit is one: the second drain waits until the first gateway serves again. The
 // same holds for a worker that an operator disables while the list drains another.
-func TestAgreedDrainWaitsForTheLimit(t *testing.T) {
+func TestAgreedChangeDrainWaitsForTheLimit(t *testing.T) {
 	runInParallel(t)
 	fleet := startFleet(t, sevenGateways(""))
 	traffic, watch := fleet.Start(mixedLoad), fleet.Watch(1)
@@ -158,7 +158,7 @@
 
 // A release is rolled out over the fleet in batches. A harmless one reaches all gateways. One that crashes at its start, or that sheds
 // a part of one class, halts by itself and is rolled back on exactly the gateways that it had reached. No call is lost.
-func TestAgreedReleaseCompletesOrRollsBack(t *testing.T) {
+func TestAgreedChangeReleaseCompletesOrRollsBack(t *testing.T) {
 	runInParallel(t)
 	for _, test := range []struct {
 		fault, outcome string
--- a/internal/fleettest/cost_test.go
+++ b/internal/fleettest/cost_test.go
@@ -8,9 +8,9 @@
 	"quillrail/internal/lab"
 )
 
-// TestAgreementCostPerCall reports how the agreement between gateways affects the latency of calls: the same fleet and load, in turn
+// TestAgreedChangeCostPerCall reports how the agreement between gateways affects the latency of calls: the same fleet and load, in turn
 // without it and with it. It asserts nothing and runs only with QUILLRAIL_FLEET_LONG set.
-func TestAgreementCostPerCall(t *testing.T) {
+func TestAgreedChangeCostPerCall(t *testing.T) {
 	if os.Getenv("QUILLRAIL_FLEET_LONG") == "" {
 		t.Skip("runs only with QUILLRAIL_FLEET_LONG set")
 	}
--- a/internal/fleettest/faults_test.go
+++ b/internal/fleettest/faults_test.go
@@ -92,8 +92,8 @@
 	},
 }
 
-func (r *faultRun) partition(parts ...[]int) {
-	r.fleet.Partition(parts...)
+func (r *faultRun) partition(groups ...[]int) {
+	r.fleet.Partition(groups...)
 	r.serveForAWhile()
 	r.fleet.Heal()
 }
@@ -125,7 +125,7 @@
 		"declare continue name=two by=anna", "declare halt name=two by=boris", "declare back name=two by=boris"}
 	if call := calls[r.rng.IntN(len(calls))]; gateway.Process() != nil {
 		gateway.SendCommand(call)
-		r.counts["words"]++
+		r.counts["operator calls"]++
 	}
 }
 
@@ -198,7 +198,7 @@
 	periods, most, exceeded := watch.End()
 	totals := endAndCheck(t, fleet, traffic)
 	t.Logf("figures: gateways=7 faults=%d words=%d out=%d most=%d over=%d outside=%d unanswered=%d lost_in_hand=%d twice=%d calls=%d",
-		rounds, r.counts["words"], periods, most, exceeded, fleet.Counts().OutsideHalls,
+		rounds, r.counts["operator calls"], periods, most, exceeded, fleet.Counts().OutsideHalls,
 		totals.Unanswered, totals.LostInFlight, fleet.Counts().RanTwice, totals.Calls)
 	if exceeded > 0 {
 		t.Errorf("the limit on unavailable gateways was exceeded %d times", exceeded)
--- a/internal/fleettest/fleet_test.go
+++ b/internal/fleettest/fleet_test.go
@@ -26,7 +26,7 @@
 	if os.Getenv("QUILLRAIL_TEST_PROCESS") != "" {
 		fleet.TrustAll = os.Getenv("QUILLRAIL_TEST_TRUST_ALL") != ""
 		safeguard.Disabled = os.Getenv("QUILLRAIL_TEST_GUARD")
-		applyTestVersion()
+		applyTestEnvironment()
 		app.Main()
 		return
 	}
--- a/internal/fleettest/freeze_test.go
+++ b/internal/fleettest/freeze_test.go
@@ -44,16 +44,16 @@
 	awaitSettled(t, fleet)
 	rng := rand.New(rand.NewPCG(seed(), 12))
 	configure := func(g *lab.Gateway, n int) *lab.ConfigChange {
-		applied, err := g.Configure(fmt.Sprint("r", n))
+		change, err := g.Configure(fmt.Sprint("r", n))
 		if err != nil {
 			t.Fatal(err)
 		}
 		counts.configured++
-		return applied
+		return change
 	}
-	for _, applied := range []*lab.ConfigChange{configure(fleet.Gateways[1], 2), configure(fleet.Gateways[5], 2)} {
+	for _, change := range []*lab.ConfigChange{configure(fleet.Gateways[1], 2), configure(fleet.Gateways[5], 2)} {
 		for timeout := time.After(eventTimeout); ; {
-			if _, ok := applied.AppliedAt(); ok {
+			if _, ok := change.AppliedAt(); ok {
 				break
 			}
 			select {
@@ -102,9 +102,9 @@
 		}
 		i := rng.IntN(len(fleet.Gateways))
 		switch {
-		case now.Before(from.Add(150 * time.Millisecond)): // a clock that is behind shows that the period has not begun
+		case now.Before(from.Add(150 * time.Millisecond)): // its clock is behind and shows that the period has not begun
 			i = 2
-		case now.After(to.Add(-200 * time.Millisecond)): // a clock that is ahead shows that the period is over
+		case now.After(to.Add(-200 * time.Millisecond)): // its clock is ahead and shows that the period is over
 			i = 1
 		}
 		if i != restartedGateway || restarted { // before its restart it gets none, since it would start with that file
@@ -113,22 +113,22 @@
 	}
 	fleet.Heal()
 	last := map[*lab.Gateway]*lab.ConfigChange{}
-	for _, applied := range insidePeriod {
-		last[applied.Gateway] = applied
-		if at, ok := applied.AppliedAt(); ok && at.Before(to) {
+	for _, change := range insidePeriod {
+		last[change.Gateway] = change
+		if at, ok := change.AppliedAt(); ok && at.Before(to) {
 			counts.appliedInside++
 		}
 	}
-	for g, applied := range last {
+	for g, change := range last {
 		if disabledGuard != "" {
 			continue
 		}
 		isApplied := func() bool {
-			_, ok := applied.AppliedAt()
+			_, ok := change.AppliedAt()
 			return ok
 		}
 		if err := waitUntil(eventTimeout, isApplied); err != nil {
-			t.Fatalf("%s has not applied configuration %s: %v\n%s", g.Name, applied.Revision, err, g.Process().Log())
+			t.Fatalf("%s has not applied configuration %s: %v\n%s", g.Name, change.Revision, err, g.Process().Log())
 		}
 		counts.appliedAfter++
 	}
@@ -170,7 +170,7 @@
 	mustCall(t, fleet.Gateways[3], fmt.Sprintf("declare freeze name=feast by=anna zone=UTC from=%s to=%s",
 		from.Format(timeLayout), from.Add(time.Hour).Format(timeLayout)))
 	awaitAgreed(t, fleet.Gateways[5], "feast .* in force until")
-	applied, err := fleet.Gateways[5].Configure("r2")
+	change, err := fleet.Gateways[5].Configure("r2")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,7 +190,7 @@
 		t.Errorf("the operator who requested the exception may also second it: %s", text)
 	}
 	mustCall(t, fleet.Gateways[1], fmt.Sprintf("declare second exception=%d by=boris", id))
-	if _, ok := applied.AppliedAt(); ok {
+	if _, ok := change.AppliedAt(); ok {
 		t.Error("the configuration was applied before the exception was used")
 	}
 	mustCall(t, fleet.Gateways[5], fmt.Sprintf("declare take except=%d by=anna", id))
--- a/internal/fleettest/history_test.go
+++ b/internal/fleettest/history_test.go
@@ -127,7 +127,7 @@
 // The history of drains at seven gateways, as operators observe it, is linearizable for a set of at most two unavailable gateways: in
 // some order each operation takes effect between its call and its completion. With the limits disabled three gateways are drained at
 // once, and no such order exists.
-func TestAgreedDrainHistoryIsLinearizable(t *testing.T) {
+func TestAgreedChangeDrainHistoryIsLinearizable(t *testing.T) {
 	runInParallel(t)
 	times := 2
 	if os.Getenv("QUILLRAIL_FLEET_LONG") != "" {
--- a/internal/fleettest/log_test.go
+++ b/internal/fleettest/log_test.go
@@ -33,7 +33,7 @@
 	requireNoLostCalls(t, totals, traffic)
 }
 
-// The readers of the gateways' logs close the pipes: the processes go on serving, and end when they are told to.
+// The readers of the gateways' logs close the pipes: the processes go on serving, and end on SIGTERM.
 func TestClosedLogDoesNotStopTheGateway(t *testing.T) {
 	runInParallel(t)
 	fleet := startFleet(t, lab.Options{Gateways: 2, Arguments: []string{"--log-level", "debug"}})
--- a/internal/fleettest/majority_test.go
+++ b/internal/fleettest/majority_test.go
@@ -6,7 +6,7 @@
 )
 
 // A gateway without a majority is drained only by an emergency drain, which all gateways learn of once the partition is healed.
-func TestAgreedDrainWithoutMajorityNeedsEmergency(t *testing.T) {
+func TestAgreedChangeWithoutMajorityNeedsEmergency(t *testing.T) {
 	runInParallel(t)
 	options := sevenGateways("")
 	options.PeerRelays = true
@@ -41,7 +41,7 @@
 
 // All gateways lose power in the middle of a release, and three of the seven disks are lost: the release halts, no gateway is changed
 // meanwhile, and it goes on once an operator continues it.
-func TestAgreedReleaseHaltsAfterPowerLoss(t *testing.T) {
+func TestAgreedChangeReleaseHaltsAfterPowerLoss(t *testing.T) {
 	runInParallel(t)
 	fleet := startFleet(t, sevenGateways(twoAtOnce))
 	traffic := fleet.Start(mixedLoad)
--- a/internal/fleettest/pinned_test.go
+++ b/internal/fleettest/pinned_test.go
@@ -91,26 +91,26 @@
 	runInParallel(t)
 	fleet, traffic, worth := runHallLoss(t, "")
 	before := sessionHalls(fleet)
-	var last int
+	var newestBefore int
 	for e := range before {
-		last = max(last, e)
+		newestBefore = max(newestBefore, e)
 	}
 	mustCall(t, fleet.Gateways[5], "declare open hall=hall1 by=anna")
 	traffic.AwaitServed(700, eventTimeout)
 	totals := endAndCheck(t, fleet, traffic)
 	all := sessionHalls(fleet)
-	first, moved, stayed, back := 1, 0, 0, 0
+	oldest, moved, stayed, back := 1, 0, 0, 0
 	newest := 0
 	for e := range all {
 		newest = max(newest, e)
 	}
 	for e := range all {
-		if first == 0 || e < first {
-			first = e
+		if oldest == 0 || e < oldest {
+			oldest = e
 		}
 	}
-	for fn, hall := range all[first] {
-		current, known := before[last][fn]
+	for fn, hall := range all[oldest] {
+		current, known := before[newestBefore][fn]
 		switch {
 		case !known:
 		case hall == 0 && current == 1:
@@ -130,9 +130,9 @@
 	t.Logf("figures: gateways=7 outside=%d split_sessions=%d moved=%d stayed=%d back=%d worth_pinned=%.2f "+
 		"worth_pinned_hall_lost=%.2f worth_free_hall_lost=%.2f unanswered=%d twice=%d",
 		counts.OutsideHalls, counts.SplitSessions, moved, stayed, back, worth[0], worth[1], worth[2], totals.Unanswered, counts.RanTwice)
-	if moved == 0 || stayed == 0 || back == 0 || newest == last {
+	if moved == 0 || stayed == 0 || back == 0 || newest == newestBefore {
 		t.Errorf("%d sessions moved, %d stayed, %d moved back, want 1 or more of each; epoch %d before the hall was opened, %d after",
-			moved, stayed, back, last, newest)
+			moved, stayed, back, newestBefore, newest)
 	}
 	requireNoLostCalls(t, totals, traffic)
 	fleet.Close()
@@ -155,7 +155,7 @@
 // A restriction is declared and tightened while its calls are in flight and gateways are partitioned off: as soon as each gateway knows
 // it, no call runs outside it. A restriction that leaves too little capacity is refused with numbers. One that is loosened takes effect
 // only when all gateways know it.
-func TestRestrictionTightenedAndLoosened(t *testing.T) {
+func TestPinnedRestrictionTightenedAndLoosened(t *testing.T) {
 	runInParallel(t)
 	options := sevenGateways(sessionByFunction + "[change]\nworker_calls = 50.0\n")
 	options.PeerRelays = true
--- a/internal/fleettest/power_test.go
+++ b/internal/fleettest/power_test.go
@@ -13,8 +13,8 @@
 
 // powerFleet is the fleet of these tests: 9 gateways in 3 halls, a model store that 48 concurrent loads overload, and workers that are
 // cold for 10 s.
-var powerFleet = lab.Options{Gateways: 9, Workers: 12, Halls: 3, CallsPerSecond: 25, ColdFor: 10 * time.Second, LoadTime: 200 * time.Millisecond,
-	StoreLimit: 48, Fleet: true}
+var powerFleet = lab.Options{Gateways: 9, Workers: 12, Halls: 3, CallsPerSecond: 25, ColdFor: 10 * time.Second,
+	LoadTime: 200 * time.Millisecond, StoreLimit: 48, Fleet: true}
 
 var heavyLoad = lab.Load{Rate: 150, Functions: 60, Wait: 2 * time.Second, Unsafe: 0.2, Keyed: 0.3, Tries: 3}
 
--- a/internal/fleettest/rolling_test.go
+++ b/internal/fleettest/rolling_test.go
@@ -60,7 +60,7 @@
 // All gateways are drained and restarted by permits that are requested at the same time, and then all workers. No call is lost and no
 // limit exceeded. The worth served before and during the restarts is reported, and with QUILLRAIL_FLEET_LONG also how long the restarts
 // take with a limit of one at a time instead of two.
-func TestAgreedRollingRestart(t *testing.T) {
+func TestAgreedChangeRollingRestart(t *testing.T) {
 	runInParallel(t)
 	took := map[string]time.Duration{}
 	for _, limit := range []string{"2", "1"} {
--- a/internal/fleettest/soak_test.go
+++ b/internal/fleettest/soak_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// envNumber returns a number from the environment, or the fallback if it is unset, for soaks that are run by hand.
+// envNumber returns a number from the environment, or the fallback if it is unset or no number, for soaks that are run by hand.
 func envNumber(name string, fallback uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv(name), 10, 64); err == nil {
 		return n
--- a/internal/fleettest/start_test.go
+++ b/internal/fleettest/start_test.go
@@ -29,7 +29,8 @@
 }
 
 // Gateways start and reload their configurations while the machine briefly has no descriptors or buffers left. A process that ended
-// because of that would not restart by itself, and one that kept an old address of the list would lose the list.
+// because of that would not restart by itself, and one that went on with an old address of its bulletin would receive no more changes
+// of the worker list.
 func TestStartAndReloadSurviveResourceShortages(t *testing.T) {
 	for name, errno := range map[string]unix.Errno{"no files": unix.ENFILE, "no descriptors": unix.EMFILE, "no buffers": unix.ENOBUFS} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fleettest/syscalls_test.go
+++ b/internal/fleettest/syscalls_test.go
@@ -15,7 +15,7 @@
 )
 
 // failRandomly returns a policy under which a random share of the calls that match fails, each with a random error of errnos.
-// A nil function matches all.
+// If matches is nil, all calls match.
 func failRandomly(share float64, matches func(sysfault.Call) bool, errnos ...unix.Errno) sysfault.Policy {
 	rng := rand.New(rand.NewPCG(seed(), 21))
 	return func(c sysfault.Call) sysfault.Outcome {
@@ -203,8 +203,8 @@
 	awaitServed(t, traffic, 100)
 	totalFailed := int64(0)
 	for i, s := range supervisors {
-		handled, failed := s.Counts()
-		t.Logf("gateway %d: %d of %d system calls failed", i+1, failed, handled)
+		notified, failed := s.Counts()
+		t.Logf("gateway %d: %d of %d system calls failed", i+1, failed, notified)
 		totalFailed += failed
 	}
 	if totalFailed == 0 {
--- a/internal/fleettest/version_test.go
+++ b/internal/fleettest/version_test.go
@@ -12,8 +12,8 @@
 	"quillrail/internal/wire/httpfront"
 )
 
-// applyTestVersion gives this gateway process the version, the clock and the fault that a test sets in its environment.
-func applyTestVersion() {
+// applyTestEnvironment gives this gateway process the version, the clock and the fault that a test sets in its environment.
+func applyTestEnvironment() {
 	lifecycle.Version = os.Getenv("QUILLRAIL_TEST_VERSION")
 	if ms, err := strconv.Atoi(os.Getenv("QUILLRAIL_TEST_CLOCK_MS")); err == nil {
 		lifecycle.Clock = func() time.Duration { return core.WallClock() + time.Duration(ms)*time.Millisecond }
--- a/internal/lab/bulletin.go
+++ b/internal/lab/bulletin.go
@@ -38,14 +38,14 @@
 	if _, err := io.ReadFull(c, lastSeen[:]); err != nil {
 		return
 	}
-	next := binary.BigEndian.Uint64(lastSeen[:])
+	last := binary.BigEndian.Uint64(lastSeen[:])
 	heartbeat := time.NewTicker(time.Second)
 	defer heartbeat.Stop()
 	for {
 		b.mu.Lock()
 		var pending []byte
-		for ; !b.muted && next >= 1 && next-1 < uint64(len(b.frames)); next++ {
-			pending = append(pending, b.frames[next-1]...)
+		for ; !b.muted && last >= 1 && last-1 < uint64(len(b.frames)); last++ {
+			pending = append(pending, b.frames[last-1]...)
 		}
 		changed := b.changed
 		b.mu.Unlock()
@@ -54,7 +54,7 @@
 			case <-changed:
 				continue
 			case <-heartbeat.C:
-				pending = frame(next, 0, nil)
+				pending = frame(last, 0, nil)
 			}
 		}
 		if _, err := c.Write(pending); err != nil {
@@ -101,7 +101,7 @@
 	return len(b.frames) + 1
 }
 
-// Mute holds back (true) or sends again (false) the events of the gateway's bulletin. Heartbeats go on.
+// Mute holds back the events of the gateway's bulletin if muted is true, and sends them again if it is false. Heartbeats go on.
 func (g *Gateway) Mute(muted bool) {
 	b := g.bulletin
 	b.mu.Lock()
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// try sends a request to a gateway and returns the outcome. An unanswered request whose gateway was killed or stopped in the
+// try sends a request to a gateway and returns the outcome. An unanswered request whose gateway was killed or paused in the
 // meantime is lost in flight.
 func (t *Traffic) try(httpClient *http.Client, n, try, fn int, body string, g *Gateway) string {
 	begun := time.Now()
--- a/internal/lab/configure.go
+++ b/internal/lab/configure.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(g.config, text, 0o600)
+	return os.WriteFile(g.configPath, text, 0o600)
 }
 
 // hallName returns the name of a hall; halls count from 0.
--- a/internal/lab/confine.go
+++ b/internal/lab/confine.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// commandFunctionBase is added to the numbers of functions that only commands call, if Load.SeparateCommands is set.
+// commandFunctionBase is added to the numbers of functions that only calls of class command use, if Load.SeparateCommands is set.
 const commandFunctionBase = 1000
 
-// confinement is the set of halls that commands and their functions may use, and the time from which that holds.
+// confinement is the set of halls that calls of class command and their functions may use, and the time from which that holds.
 type confinement struct {
 	halls map[int]bool
 	since time.Time
@@ -18,8 +18,8 @@
 // confineGrace is how long after the start of a confinement calls that were already on their way may still arrive elsewhere.
 const confineGrace = 200 * time.Millisecond
 
-// Confine makes the workers outside of the given halls count every command, and every load of a function that only commands call.
-// Halls count from 0; a call without halls ends the confinement.
+// Confine makes the workers outside of the given halls count every call of class command, and every load of a function that only
+// such calls use. Halls count from 0; a call without halls ends the confinement.
 func (l *Lab) Confine(halls ...int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +61,7 @@
 		return
 	}
 	key := epoch + " " + strconv.Itoa(fn)
-	if at, known := l.hallBySession[key]; known && at != hall {
+	if lastHall, known := l.hallBySession[key]; known && lastHall != hall {
 		l.counts.SplitSessions++
 	}
 	l.hallBySession[key] = hall
--- a/internal/lab/gateway.go
+++ b/internal/lab/gateway.go
@@ -20,7 +20,7 @@
 	lab               *Lab
 	index             int
 	dir               string
-	config            string
+	configPath        string
 	bulletin          *bulletin
 	bulletinLink      *Relay   // to its bulletin
 	links             []*Relay // to the workers, by their index
@@ -35,8 +35,8 @@
 	bulletinAddr      string               // the bulletin's address in the configuration; "" for that of bulletinLink
 	syscallSupervisor *sysfault.Supervisor // of its processes' system calls, nil for none
 	changingVersion   atomic.Bool          // a process of another version is taking over
-	downSince         atomic.Int64         // when it was killed or stopped, in Unix ns; 0 once it runs again
-	interruptedAt     atomic.Int64         // when it was last killed, or last continued after a stop, in Unix ns
+	downSince         atomic.Int64         // when it was killed or paused, in Unix ns; 0 once it runs again
+	interruptedAt     atomic.Int64         // when it was last killed, or last resumed after a pause, in Unix ns
 }
 
 func newGateway(l *Lab, n int) (g *Gateway, err error) {
@@ -44,7 +44,7 @@
 	if g.dir, err = l.folder(g.Name); err != nil {
 		return nil, err
 	}
-	g.config = filepath.Join(g.dir, "config.json")
+	g.configPath = filepath.Join(g.dir, "config.json")
 	if g.Addr, err = l.reserve(fmt.Sprintf("127.77.1.%d", n+1)); err != nil {
 		return nil, err
 	}
@@ -88,8 +88,7 @@
 	return g.processes[len(g.processes)-1]
 }
 
-// Start starts a process of the gateway and waits until it accepts calls. If a process runs already, the new one takes over from
-// it.
+// Start starts a process of the gateway and waits until it accepts calls. If a process runs already, the new one takes over from it.
 func (g *Gateway) Start() error {
 	if err := g.startProcess(); err != nil {
 		return err
@@ -131,7 +130,7 @@
 	g.Process().Signal(syscall.SIGSTOP)
 }
 
-// Resume continues a process that Pause has stopped.
+// Resume continues a paused process with SIGCONT.
 func (g *Gateway) Resume() {
 	g.lab.Logf("%s is resumed", g.Name)
 	g.Process().Signal(syscall.SIGCONT)
@@ -179,7 +178,7 @@
 	return text
 }
 
-// killAll kills all processes of the gateway, stopped ones too.
+// killAll kills all processes of the gateway, paused ones too.
 func (g *Gateway) killAll() {
 	g.mu.Lock()
 	procs := g.processes
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -19,7 +19,7 @@
 // Options describe a lab. Sizes and times that are 0 get the value of Defaults.
 type Options struct {
 	Program   []string                   // the command that starts a gateway, with its arguments
-	Arguments []string                   // further arguments
+	Arguments []string                   // appended to those of Program
 	Env       []string                   // added to the environment of all gateways
 	EnvOf     func(gateway int) []string // added to that of one gateway, counted from 0; nil for none
 	Dir       string                     // for configurations and the gateways' files; it has to exist
@@ -31,15 +31,15 @@
 
 	Lanes          int           // calls that a copy runs concurrently
 	WorkTime       time.Duration // mean duration of a call's work
-	LoadTime       time.Duration // of a copy from the store, without concurrent loads
-	KeepAlive      time.Duration // an idle copy is unloaded after
-	ColdFor        time.Duration // a worker is cold for so long after its start
-	ColdFrom       float64       // part of its capacity that a worker has at its start
+	LoadTime       time.Duration // how long the store takes to load a copy, without concurrent loads
+	KeepAlive      time.Duration // an idle copy is unloaded after this time
+	ColdFor        time.Duration // how long a worker is cold after its start
+	ColdFrom       float64       // part of its capacity that a worker has at its start; it grows linearly to 1 during ColdFor
 	ProbesOff      bool          // gateways may not probe workers
 	ClockFile      string        // from which gateways read the step of their wall clock, in ns; empty if clocks are never stepped
 	Fleet          bool          // gateways form a fleet and store their state on disk
 	PeerRelays     bool          // gateways reach each other through relays, so that they can be partitioned
-	Voters         int           // so many of the first gateways, which are in different halls, are voters of the replicated log; 0 for no log
+	Voters         int           // how many gateways are voters of the replicated log: the first ones, spread over the halls; 0 for no log
 	FleetSettings  string        // text added to each gateway's fleet.toml
 	StoreLimit     int           // more concurrent loads than this overload the store, 0 for no limit
 	CallsPerSecond float64       // capacity of a warm worker; a cold one collapses under calls beyond a multiple of its present capacity
@@ -54,7 +54,7 @@
 	collapseWindow   = 3 * time.Second // over which these calls are counted
 	deadline         = 2 * time.Second // of every class
 	drainGrace       = 2 * time.Second // how long after a drain was announced calls may still arrive at the worker
-	keyWindow        = 8 * time.Second // workers of a hall drop the repeat of a key for so long
+	keyWindow        = 8 * time.Second // how long the workers of a hall drop repeats of a key
 	maxBulletinDelay = 7 * time.Second // an event of an impaired bulletin counts as announced after this, whether or not it has arrived
 	drainAcceptTime  = time.Second     // how long a draining worker still accepts calls
 	maxQueue         = 32              // calls that wait for a copy; further ones are rejected
@@ -69,7 +69,7 @@
 // classes maps the first letter of a request's body to its class.
 var classes = map[byte]string{'r': "read", 'c': "command", 'o': "once"}
 
-// labCount counts the labs of this process, each of which has a peer port of its own.
+// labCount counts the labs of this process. Each of them has a peer port of its own; a prime step spreads these over the range.
 var labCount atomic.Int64
 
 // Lab is a fleet of gateways with its stubs. Its methods may be called from any goroutine.
@@ -108,7 +108,7 @@
 	ColdCollapses  int `json:"Fell"`       // cold workers that collapsed under load
 	Loads          int // copies loaded
 	StoreOverloads int `json:"Pushed"`  // how often the store was overloaded
-	OutsideHalls   int `json:"Outside"` // commands, and loads of their functions, outside of the halls of a confinement
+	OutsideHalls   int `json:"Outside"` // calls of class command, and loads of their functions, outside of the halls of a confinement
 	SplitSessions  int `json:"Split"`   // how often a session changed its hall within one epoch
 }
 
@@ -212,7 +212,7 @@
 	l.mu.Unlock()
 }
 
-// exp draws a duration from an exponential distribution.
+// exp draws a duration from an exponential distribution with this mean.
 func (l *Lab) exp(mean time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -18,7 +18,7 @@
 	Wait              time.Duration // for the answer to one try
 	Unsafe            float64       // part of the requests that must not run twice (class once)
 	Keyed             float64       // part of the requests that carry a key (class command)
-	SeparateCommands  bool          // commands have functions of their own, from commandFunctionBase on
+	SeparateCommands  bool          // calls of class command have functions of their own, from commandFunctionBase on
 	Tries             int           // most tries of a request; it is tried again only if it was refused or unreached
 }
 
@@ -36,7 +36,7 @@
 	mu           sync.Mutex
 	totals       Totals
 	latency      *hdrhistogram.Histogram // microseconds, from the intended start to a served answer
-	lateness     *hdrhistogram.Histogram // microseconds that clients began after a request was due
+	lateness     *hdrhistogram.Histogram // microseconds from when a request was due until its client began
 	waiters      []waiter
 	milestones   []Milestone
 	begun        time.Time
--- a/internal/lab/partition.go
+++ b/internal/lab/partition.go
@@ -17,7 +17,7 @@
 	Reorder float64       // part of the datagrams that is delivered after the next one
 }
 
-// path carries what one gateway initiates to another: a relay for the connections that it opens, and one for its datagrams.
+// path carries the connections that one gateway opens to another, and the datagrams that it sends there, through a relay for each.
 type path struct {
 	tcp *Relay
 	udp *datagramRelay
--- a/internal/lab/persistent.go
+++ b/internal/lab/persistent.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// persistentBase times the client's number plus 1 is the first request number of a persistent client. It lies above the numbers of
-// bursts and of requests that are sent at Load.Rate.
+// persistentBase*(i+1) is the first request number of persistent client i. It lies above the numbers of bursts and of requests that
+// are sent at Load.Rate.
 const persistentBase = 10_000_000
 
 // burstBase is the first request number of bursts. It lies above the numbers of requests that are sent at Load.Rate.
@@ -48,7 +48,7 @@
 	return at == 0 || time.Since(time.Unix(0, at)) <= balancerDelay
 }
 
-// errAllRefused contains "connection refused", by which Traffic.call recognises a request that reached nobody.
+// errAllRefused contains "connection refused", by which Traffic.call recognises a request that reached no gateway.
 var errAllRefused = errors.New("connection refused by all")
 
 // persistentClient runs client i, which uses one connection for as long as it stays open and sends each request right after the
@@ -69,7 +69,7 @@
 		}
 		class, fn := t.draw(rng)
 		body, due := fmt.Sprintf("%c%08d", class, n), time.Now()
-		outcome := t.call(httpClient, "line", n, 0, fn, body)
+		outcome := t.call(httpClient, "line", n, 0, fn, body) // "line" is any host name, as DialContext ignores it
 		if outcome == "unanswered" && t.lab.interruptedSince(due) {
 			outcome = "lost in flight"
 		}
@@ -77,7 +77,7 @@
 	}
 }
 
-// interruptedSince reports whether any gateway is killed or stopped now, or was at some time since begun.
+// interruptedSince reports whether any gateway is down or paused now, or was killed or resumed since begun.
 func (l *Lab) interruptedSince(begun time.Time) bool {
 	return slices.ContainsFunc(l.Gateways, func(g *Gateway) bool {
 		return g.downSince.Load() != 0 || g.interruptedAt.Load() > begun.UnixNano()
--- a/internal/lab/plan.go
+++ b/internal/lab/plan.go
@@ -8,8 +8,9 @@
 )
 
 // Step is one fault or other action on the fleet, At seconds after the first request. What is one of kill, start, pause, resume,
-// upgrade, end, mute and unmute (of a gateway), crash, restart and drain (of a worker), reset, cut and heal (of the link between a
-// gateway and a worker), power_off and power_on (of all gateways and workers). Gateways and workers count from 1.
+// upgrade and end (of a gateway), mute and unmute (of a gateway's bulletin), crash, restart and drain (of a worker), reset, cut and
+// heal (of the link between a gateway and a worker), power_off and power_on (of all gateways and workers). Gateways and workers count
+// from 1.
 type Step struct {
 	At      float64 `toml:"at"`
 	What    string  `toml:"what"`
--- a/internal/lab/power.go
+++ b/internal/lab/power.go
@@ -13,12 +13,12 @@
 
 // writeFleetConfig writes a gateway's fleet.toml, which lists its peers, and creates the file with its machine's boot identity.
 func (g *Gateway) writeFleetConfig() error {
-	loads := 16
+	firstLoads := 16
 	if g.lab.StoreLimit > 0 {
-		loads = max(1, g.lab.StoreLimit/2)
+		firstLoads = max(1, g.lab.StoreLimit/2)
 	}
 	text := fmt.Sprintf("enabled = true\nfleet = \"lab\"\nbind = %q\ndir = %q\nboot_id = %q\nfirst_loads = %d\nseeds = [",
-		g.peerAddr, g.diskDir(), g.bootFile(), loads)
+		g.peerAddr, g.diskDir(), g.bootFile(), firstLoads)
 	via := "]\n[via]\n"
 	agreement := ""
 	for i := range g.lab.Voters {
--- a/internal/lab/process.go
+++ b/internal/lab/process.go
@@ -30,7 +30,7 @@
 	lines        []map[string]any // parsed log lines that Await has not returned yet
 	rawLines     []string         // the last log lines as written
 	log          *os.File         // the end of the log's pipe from which the lab reads
-	readGate     chan struct{}    // closed while the log is read; open between HoldLog and ReleaseLog
+	readGate     chan struct{}    // the reader of the log waits for it; closed except between HoldLog and ReleaseLog
 	newLine      chan struct{}    // closed and replaced at each log line
 	exited       chan struct{}    // closed when the process has ended
 	err          error            // of its exit; set before exited is closed
@@ -57,7 +57,7 @@
 	}
 	cmd := exec.Command(l.Program[0], args...)
 	cmd.Dir = g.dir
-	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+g.config, "TMPDIR="+g.dir,
+	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+g.configPath, "TMPDIR="+g.dir,
 		fmt.Sprintf("NODE_OPERATOR=127.77.3.%d:0", g.index+1), "QUILLRAIL_TEST_VERSION="+version),
 		append(append([]string(nil), l.Env...), env...)...)
 	if l.ClockFile != "" {
@@ -208,7 +208,7 @@
 	}
 }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
 // OperatorAddr returns the address of the process's operator listener.
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -13,7 +13,7 @@
 	Drop           bool          // bytes are lost, and the sender doesn't notice
 	Hold           bool          // bytes wait until the fault is over, as TCP retransmits over a link that recovers
 	BytesPerSecond int           // 0 for no limit
-	MaxChunk       int           // most bytes of one write to the receiver, which so gets short reads; 0 for no limit
+	MaxChunk       int           // most bytes of one write to the receiver, which therefore gets short reads; 0 for no limit
 }
 
 // Relay forwards TCP connections to a target, each direction with faults of its own. Drop in one direction makes a half-open
@@ -43,7 +43,7 @@
 	return r, nil
 }
 
-// close resets all connections and wakes whatever waits for a fault to be over.
+// close resets all connections and wakes the goroutines that wait for a fault to be over.
 func (r *Relay) close() {
 	r.mu.Lock()
 	r.closed = true
--- a/internal/lab/scale/events.go
+++ b/internal/lab/scale/events.go
@@ -21,11 +21,11 @@
 	}
 	for _, step := range steps {
 		wrongBefore, sentBefore := r.wrongSuspicions.Load(), r.transferred(0)
-		e, err := step()
-		e.Gateways, e.WrongSuspicions, e.Bytes = len(r.hollowGateways)+realGateways, int(r.wrongSuspicions.Load()-wrongBefore),
+		event, err := step()
+		event.Gateways, event.WrongSuspicions, event.Bytes = len(r.hollowGateways)+realGateways, int(r.wrongSuspicions.Load()-wrongBefore),
 			float64(r.transferred(0)-sentBefore)
-		r.result.Events = append(r.result.Events, e)
-		r.opts.Log("%s: noticed by the others after %.0f ms, its end after %.0f ms", e.What, e.NoticedMs, e.HealedMs)
+		r.result.Events = append(r.result.Events, event)
+		r.opts.Log("%s: noticed by the others after %.0f ms, its end after %.0f ms", event.What, event.NoticedMs, event.HealedMs)
 		if err != nil {
 			return err
 		}
@@ -34,8 +34,8 @@
 }
 
 // restartGateways stops gateways one after the other as operators do, and starts each again with nothing in memory.
-func (r *run) restartGateways() (e EventResult, err error) {
-	e.What = "a gateway is restarted (mean of 5)"
+func (r *run) restartGateways() (event EventResult, err error) {
+	event.What = "a gateway is restarted (mean of 5)"
 	all := int64(len(r.hollowGateways) + realGateways)
 	for i := range restartCount {
 		h := r.hollowGateways[len(r.hollowGateways)-1-i]
@@ -43,20 +43,20 @@
 		begun := time.Now()
 		h.stop()
 		if err := r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() < all }); err != nil {
-			return e, err
+			return event, err
 		}
-		e.NoticedMs += ms(time.Since(begun)) / restartCount
+		event.NoticedMs += ms(time.Since(begun)) / restartCount
 		begun = time.Now()
 		h.aliveCount.Store(0)
 		h.appliedIndex.Store(0)
 		h.start()
 		if err := r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() == all && h.appliedIndex.Load() > 0 }); err != nil {
-			return e, err
+			return event, err
 		}
-		e.HealedMs += ms(time.Since(begun)) / restartCount
+		event.HealedMs += ms(time.Since(begun)) / restartCount
 		r.expectAll()
 	}
-	return e, nil
+	return event, nil
 }
 
 // expectGone removes gateways from the expected ones, so that a suspicion of them is not counted as wrong.
@@ -72,8 +72,8 @@
 }
 
 // loseZone disconnects all hollow gateways of a zone at once, and starts them again with nothing in memory.
-func (r *run) loseZone() (e EventResult, err error) {
-	e.What = "a zone is lost, and returns"
+func (r *run) loseZone() (event EventResult, err error) {
+	event.What = "a zone is lost, and returns"
 	var lost []*hollow
 	for i, h := range r.hollowGateways {
 		if placeOf(i).zone == 1 {
@@ -91,9 +91,9 @@
 	remaining := int64(len(r.hollowGateways) + realGateways - len(lost))
 	time.Sleep(time.Second)
 	if err := r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() <= remaining }); err != nil {
-		return e, err
+		return event, err
 	}
-	e.NoticedMs = ms(time.Since(begun))
+	event.NoticedMs = ms(time.Since(begun))
 	begun = time.Now()
 	for _, h := range lost {
 		r.network.setDead(h.host, false)
@@ -102,14 +102,14 @@
 	}
 	all := int64(len(r.hollowGateways) + realGateways)
 	err = r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() == all })
-	e.HealedMs = ms(time.Since(begun))
+	event.HealedMs = ms(time.Since(begun))
 	r.expectAll()
-	return e, err
+	return event, err
 }
 
 // partitionRegion partitions the hollow gateways of a region from all others for Options.PartitionFor.
-func (r *run) partitionRegion() (e EventResult, err error) {
-	e.What = "a region is cut off for " + r.opts.PartitionFor.String() + ", and healed"
+func (r *run) partitionRegion() (event EventResult, err error) {
+	event.What = "a region is cut off for " + r.opts.PartitionFor.String() + ", and healed"
 	inside := map[*hollow]bool{}
 	var hosts []string
 	for i, h := range r.hollowGateways {
@@ -126,15 +126,15 @@
 		return inside[h] || h.aliveCount.Load() <= all-int64(len(hosts))
 	}
 	err = r.await(eventTimeout, separated)
-	e.NoticedMs = ms(time.Since(begun))
+	event.NoticedMs = ms(time.Since(begun))
 	if err != nil {
-		return e, err
+		return event, err
 	}
 	time.Sleep(max(0, r.opts.PartitionFor-time.Since(begun)))
 	r.network.partition(nil)
 	begun = time.Now()
 	err = r.await(eventTimeout, func(h *hollow) bool { return h.aliveCount.Load() == all })
-	e.HealedMs = ms(time.Since(begun))
+	event.HealedMs = ms(time.Since(begun))
 	r.expectAll()
-	return e, err
+	return event, err
 }
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -80,8 +80,8 @@
 	})
 	h.node.Add(func(host *fleet.Host) fleet.Part {
 		h.agent = agreement.New(host, noopActions{}, agreement.Options{Name: h.name, Hall: hallNames()[h.place.region], Halls: hallNames(),
-			Classes: []string{"read", "command", "once"},
-			Tenants: []string{"demo"}, InitialVoters: h.run.voters, TargetVoters: len(h.run.voters), ReplaceAfter: time.Minute, HallLostAfter: 5 * time.Second,
+			Classes: []string{"read", "command", "once"}, Tenants: []string{"demo"}, InitialVoters: h.run.voters,
+			TargetVoters: len(h.run.voters), ReplaceAfter: time.Minute, HallLostAfter: 5 * time.Second,
 			Limits: change.DefaultLimits, Rules: replog.Rules{ClockBoundMs: 500, FreezeAheadMs: 60_000}, ColdFor: settings.ColdFor, Session: "key",
 			Version: "v1", Config: "r1"})
 		return h.agent
--- a/internal/lab/scale/measure.go
+++ b/internal/lab/scale/measure.go
@@ -10,28 +10,28 @@
 )
 
 // measure grows the fleet to a size and measures it.
-func (r *run) measure(size int) (f FleetResult, err error) {
-	f.Gateways = size
+func (r *run) measure(size int) (result FleetResult, err error) {
+	result.Gateways = size
 	r.opts.Log("%d gateways: starting", size)
 	before, measuredFrom := ownUsage(), time.Now()
 	defer func() {
 		if err != nil { // the cost so far is reported nevertheless
 			spent := ownUsage().since(before).perSecond(time.Since(measuredFrom))
-			f.CorePart, f.MemoryMB = spent.CoreSeconds/float64(size), (spent.MemoryMB-r.baseline.MemoryMB)/float64(size)
+			result.CorePart, result.MemoryMB = spent.CoreSeconds/float64(size), (spent.MemoryMB-r.baseline.MemoryMB)/float64(size)
 		}
 	}()
 	if err := r.grow(size); err != nil {
-		return f, err
+		return result, err
 	}
 	begun := time.Now()
 	if err := r.await(joinTimeout, func(h *hollow) bool { return h.aliveCount.Load() == int64(size) }); err != nil {
-		return f, err
+		return result, err
 	}
-	f.JoinMs = ms(time.Since(begun))
+	result.JoinMs = ms(time.Since(begun))
 	if err := r.await(joinTimeout, func(h *hollow) bool { return h.appliedIndex.Load() > 0 }); err != nil {
-		return f, err
+		return result, err
 	}
-	r.opts.Log("%d gateways: each knows all others after %.1f s; measuring", size, f.JoinMs/1000)
+	r.opts.Log("%d gateways: each knows all others after %.1f s; measuring", size, result.JoinMs/1000)
 	time.Sleep(r.opts.Settle)
 	runtime.GC()
 	debug.FreeOSMemory()
@@ -44,14 +44,14 @@
 		times, err := r.change()
 		if err != nil {
 			r.opts.Log("%d gateways: %v", size, err)
-			f.LateChanges++
+			result.LateChanges++
 			continue
 		}
 		for i := range times {
 			inForce[i] = append(inForce[i], times[i])
 		}
 		if times[2] > ms(Target.InForce) {
-			f.LateChanges++
+			result.LateChanges++
 		}
 		time.Sleep(time.Until(next))
 	}
@@ -59,18 +59,18 @@
 	count := float64(len(r.hollowGateways))
 	now := ownUsage()
 	spent := now.since(before).perSecond(passed)
-	f.CorePart = max(0, spent.CoreSeconds-r.baseline.CoreSeconds) / count
-	f.MemoryMB = (now.MemoryMB - r.baseline.MemoryMB) / count
-	f.SentPerSec, f.ReceivedPerSec = float64(r.transferred(0)-sentBefore)/passed.Seconds()/count,
+	result.CorePart = max(0, spent.CoreSeconds-r.baseline.CoreSeconds) / count
+	result.MemoryMB = (now.MemoryMB - r.baseline.MemoryMB) / count
+	result.SentPerSec, result.ReceivedPerSec = float64(r.transferred(0)-sentBefore)/passed.Seconds()/count,
 		float64(r.transferred(1)-gotBefore)/passed.Seconds()/count
-	f.WrongSuspicions, f.MessagesLost = int(r.wrongSuspicions.Load()-wrongBefore), int(r.lostMessages()-lostBefore)
-	f.Voters = r.usageSince(usageBefore, passed)
+	result.WrongSuspicions, result.MessagesLost = int(r.wrongSuspicions.Load()-wrongBefore), int(r.lostMessages()-lostBefore)
+	result.Voters = r.usageSince(usageBefore, passed)
 	for i := range inForce {
 		if len(inForce[i]) > 0 {
-			f.InForceMs[i] = median(inForce[i])
+			result.InForceMs[i] = median(inForce[i])
 		}
 	}
-	return f, nil
+	return result, nil
 }
 
 // change proposes a change of the fleet's limits and returns the ms until it is in force at 50, 99 and 100 % of the running hollow
--- a/internal/lab/scale/routing.go
+++ b/internal/lab/scale/routing.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	callTime         = 40 * time.Millisecond // of a call at a worker
+	callTime         = 40 * time.Millisecond // how long a worker takes for a call
 	sampledFunctions = 100                   // called once, once more, and (some of them) after a change of the list
 	memoryFunctions  = 300                   // called to measure the memory of a function
-	callTimeLimit    = 10 * time.Second      // for all calls with the target's skew
+	callTimeLimit    = 10 * time.Second      // limit on the router's own time for all calls with the target's skew
 	timerSamples     = 100
 	changeSamples    = 20
-	sweepInterval    = 10 * time.Millisecond // of the router's timer
+	sweepInterval    = 10 * time.Millisecond // interval of the router's timer
 )
 
 // WorkerList returns a list of n workers, spread over the target's zones.
--- a/internal/lab/scale/run.go
+++ b/internal/lab/scale/run.go
@@ -38,7 +38,7 @@
 	voters          []string // names of the real gateways
 	hollowGateways  []*hollow
 	wrongSuspicions atomic.Int64
-	expected        atomic.Pointer[map[string]bool] // names of the gateways that should be alive for all others
+	expected        atomic.Pointer[map[string]bool] // names of the gateways that all others should consider alive
 	baseline        Usage                           // of this process without hollow gateways, per second
 	changes         int                             // proposed so far
 }
@@ -104,9 +104,9 @@
 	debug.SetGCPercent(gcPercent)
 	debug.SetMemoryLimit(memoryLimit)
 	for i, size := range opts.Gateways {
-		f, err := r.measure(size)
-		result.Fleets = append(result.Fleets, f)
-		if f.CorePart*float64(size) > 0.8*float64(runtime.NumCPU()) {
+		measured, err := r.measure(size)
+		result.Fleets = append(result.Fleets, measured)
+		if measured.CorePart*float64(size) > 0.8*float64(runtime.NumCPU()) {
 			result.Limits = append(result.Limits, fmt.Sprintf("%d gateways: the machine's processors were busy, "+
 				"so the machine and not the program determines times and suspicions", size))
 		}
@@ -115,10 +115,10 @@
 			return nil
 		}
 		if i+1 < len(opts.Gateways) {
-			if next := opts.Gateways[i+1]; f.CorePart*float64(next) > maxCoreShare*float64(runtime.NumCPU()) {
+			if next := opts.Gateways[i+1]; measured.CorePart*float64(next) > maxCoreShare*float64(runtime.NumCPU()) {
 				result.Limits = append(result.Limits, fmt.Sprintf("%d gateways were not started: when idle they would take %.1f of %d cores, "+
 					"and several times as much while "+
-					"they find each other", next, f.CorePart*float64(next), runtime.NumCPU()))
+					"they find each other", next, measured.CorePart*float64(next), runtime.NumCPU()))
 				break
 			}
 		}
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// expectAll stores that all gateways should be alive, so that any suspicion of one counts as wrong.
+// expectAll expects all gateways to be considered alive, so that any suspicion of one counts as wrong.
 func (r *run) expectAll() {
 	expected := map[string]bool{}
 	for _, name := range r.voters {
@@ -174,7 +174,7 @@
 	r.expected.Store(&expected)
 }
 
-// isExpected reports whether a gateway should be alive for all others.
+// isExpected reports whether all other gateways should consider a gateway alive.
 func (r *run) isExpected(name string) bool {
 	expected := r.expected.Load()
 	return expected != nil && (*expected)[name]
--- a/internal/lab/scale/target.go
+++ b/internal/lab/scale/target.go
@@ -11,7 +11,7 @@
 	Gateways, Workers, Functions, Regions, Zones int
 	CallsPerSec, ChangesPerDay                   float64
 	InForce                                      time.Duration // until a change of the configuration is in force everywhere, at most
-	CorePart                                     float64       // of a core, for a gateway's control, at most
+	CorePart                                     float64       // of a core, the most that a gateway may use for controlling the fleet
 	MemoryMB                                     float64
 	BytesPerSec                                  float64
 	ReplacedPerDay                               float64 // machines
@@ -92,12 +92,12 @@
 	ReceivedPerSec float64 `json:"got_per_sec"`
 }
 
-// EventResult is the cost of one event of an ordinary year.
+// EventResult is the cost of one event that has to be expected in an ordinary year, such as a restart or the loss of a zone.
 type EventResult struct {
 	What            string  `json:"what"`
 	Gateways        int     `json:"gateways"`
 	NoticedMs       float64 `json:"ms"`      // until the others have noticed it
-	HealedMs        float64 `json:"heal_ms"` // from its end until all gateways are alive again for each other
+	HealedMs        float64 `json:"heal_ms"` // from its end until all gateways consider each other alive again
 	Bytes           float64 `json:"bytes"`   // sent by the hollow gateways during the event
 	WrongSuspicions int     `json:"wrong_suspicions"`
 }
--- a/internal/lab/serve.go
+++ b/internal/lab/serve.go
@@ -74,7 +74,8 @@
 	return values
 }
 
-// loadFields formats the fields of a reply: in which state the call found its function, if detail is not empty, and the worker's load.
+// loadFields formats the fields of a reply: detail, which states how the call found its function and is left out if empty, and the
+// worker's load.
 func (w *Worker) loadFields(detail string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -18,12 +18,12 @@
 	s.mu.Lock()
 	s.loads++
 	wait := s.lab.LoadTime * time.Duration(3+s.loads) / 4
-	if at := s.lab.StoreLimit; at > 0 && s.loads > at { // the store is overloaded
+	if limit := s.lab.StoreLimit; limit > 0 && s.loads > limit { // the store is overloaded
 		if wait *= 3; !s.overloaded {
 			s.overloaded = true
 			s.lab.count(func(c *Counts) { c.StoreOverloads++ })
 		}
-	} else if s.loads <= at/2 {
+	} else if s.loads <= limit/2 {
 		s.overloaded = false
 	}
 	s.mu.Unlock()
--- a/internal/lab/sysfault/child.go
+++ b/internal/lab/sysfault/child.go
@@ -53,8 +53,8 @@
 	if socket, err = strconv.Atoi(first); err != nil {
 		return 0, nil, err
 	}
-	for _, word := range strings.Split(rest, ",") {
-		n, err := strconv.ParseUint(word, 10, 32)
+	for _, number := range strings.Split(rest, ",") {
+		n, err := strconv.ParseUint(number, 10, 32)
 		if err != nil {
 			return 0, nil, err
 		}
--- a/internal/lab/totals.go
+++ b/internal/lab/totals.go
@@ -32,7 +32,7 @@
 	Refused      int // rejected with status 503 or 429
 	Failed       int
 	Unanswered   int // the connection ended without a complete answer, or the client timed out
-	LostInFlight int `json:"InHand"` // unanswered, and the gateway was killed or stopped meanwhile
+	LostInFlight int `json:"InHand"` // unanswered, and the gateway was killed or paused meanwhile
 	Unreached    int // no gateway accepted the connection
 	Wrong        int // answered with a body that no worker has sent for this request
 }
--- a/internal/lab/watch.go
+++ b/internal/lab/watch.go
@@ -19,7 +19,7 @@
 	wg             sync.WaitGroup
 	mu             sync.Mutex
 	states         []gatewayState // by the index of the gateway
-	maxUnavailable int            // when a gateway became unavailable as planned
+	maxUnavailable int            // the most at any time when a gateway became unavailable as planned
 	violations     int            // how often more than limit were unavailable then
 	planned        int            // how often a gateway became unavailable as planned
 }
@@ -27,7 +27,7 @@
 // gatewayState is the last observation of a gateway.
 type gatewayState struct {
 	unavailable bool
-	planned     bool // it is not ready or changes its version, and was not killed or stopped
+	planned     bool // it is not ready or changes its version, and was not killed or paused
 	since       time.Time
 }
 
@@ -75,8 +75,8 @@
 	}
 }
 
-// End stops polling. It returns how often a gateway became unavailable as planned, how many were unavailable then at most, and how
-// often that were more than the limit.
+// End stops polling. It returns how often a gateway became unavailable as planned, the most that were unavailable at such a time, and
+// how often these were more than the limit.
 func (w *Watch) End() (planned, maxUnavailable, violations int) {
 	close(w.stop)
 	w.wg.Wait()
--- a/internal/lab/worker.go
+++ b/internal/lab/worker.go
@@ -25,14 +25,14 @@
 	recentSends      []time.Time // arrivals of calls within the last collapseWindow, while the worker is cold
 	collapsed        bool        // answers no calls and loads until the next restart
 	hung             bool        // answers no calls and loads, and leaves connections open, as a machine that has vanished
-	banned           bool        // never lifted
+	banned           bool        // by operators; the lab never lifts a ban
 	drainAnnouncedAt time.Time   // when its drain or ban counts as announced to all gateways, or zero
 	drainingSince    time.Time   // when it started to drain, or zero
 	listedStart      int64       // its start time in the list, in Unix ms
 	incarnation      int         // counts restarts and crashes; calls of an earlier incarnation are not answered
 }
 
-// copySet is the loaded copies of a function at a worker.
+// copySet is the copies of a function at a worker, loaded or being loaded.
 type copySet struct {
 	ready       chan struct{} // closed once loaded
 	lanes       chan struct{} // holds an element for each lane in use
