--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -16,7 +16,7 @@
 var policyFileHeader = regexp.MustCompile(`^package decide\n\n(// [A-Z]\w+(, \w+)*: |import)`)
 
 // The files listed as policy in deploy/balancer.toml have at most 110 columns and begin with a comment about their
-// decisions. Their length is checked by TestFilesAreShort.
+// decisions. Their length is checked by TestFileLengths.
 func TestPolicyFilesAreReadable(t *testing.T) {
 	var deploy struct{ Policy, Node []string }
 	if _, err := toml.DecodeFile("../deploy/balancer.toml", &deploy); err != nil {
--- a/decide/events.go
+++ b/decide/events.go
@@ -1,6 +1,7 @@
 package decide
 
-// Events: how the reported events are recorded, and the first decision about a request.
+// Events: New, which creates a Router, and Handle, which records the reported events and acts on them. The
+// conditions on which a new request is refused at once, in an overload, are here too.
 
 import (
 	"cmp"
@@ -14,12 +15,13 @@
 	if err := s.check(gw); err != nil {
 		return nil, err
 	}
-	n := max(1, len(s.Tenants))
+	tenants := max(1, len(s.Tenants))
 	r := &Router{settings: s, gateway: gw, rng: rand.New(rand.NewPCG(seed, 1)),
-		listing: newListing(len(s.Classes), n), funcs: map[string]*function{}, byID: map[uint64]*request{},
-		homeFactor: 1, loadFactor: 1, hedgeTokens: hedgeBurst,
+		listing: newListing(len(s.Classes), tenants), funcs: map[string]*function{},
+		byID: map[uint64]*request{}, homeFactor: 1, loadFactor: 1, hedgeTokens: hedgeBurst,
 		callFadeTime: max(rateFadeTime, time.Duration(keepAliveShare*float64(s.KeepAlive)))}
-	r.heldDeficit, r.tokens, r.refilledAt = make([]float64, n), make([]float64, n), make([]time.Duration, n)
+	r.heldDeficit, r.tokens, r.refilledAt =
+		make([]float64, tenants), make([]float64, tenants), make([]time.Duration, tenants)
 	for _, t := range s.Tenants {
 		r.evenAllowance += t.PerSec / float64(max(1, s.Gateways))
 	}
@@ -33,7 +35,8 @@
 	return r, nil
 }
 
-// Handle records one event at the clock time now and acts on it.
+// Handle records one event at the clock time now and acts on it. The router's clock never goes back: an
+// earlier now than that of a previous event counts as the latest time so far.
 func (r *Router) Handle(now time.Duration, ev Event) {
 	r.now = max(r.now, now)
 	switch e := ev.(type) {
@@ -45,7 +48,7 @@
 		r.onArrival(e)
 	case ClientGone:
 		if req := r.byID[e.ID]; req != nil && !req.ended {
-			r.end(req, -1)
+			r.end(req, -1) // -1: retract all attempts
 		}
 	case Result:
 		r.onResult(e)
@@ -74,11 +77,11 @@
 		}
 		return
 	}
-	before := r.servingWorkers()
+	servingBefore := r.servingWorkers()
 	var listed []*worker
 	if e.Whole {
 		for _, w := range r.workers {
-			w.host.State, listed = Gone, append(listed, w) // unless listed below
+			w.host.State, listed = Gone, append(listed, w) // unless e.Hosts has it: see below
 		}
 	}
 	restarted := map[*worker]bool{} // these are cold now, and their health is unknown
@@ -91,7 +94,7 @@
 			r.update(w, func(u *usage) { u.health, u.window = make([]health, len(r.classes)), maxWindow })
 		}
 		if w.host.Zone != h.Zone {
-			r.unlist(w)
+			r.unlist(w) // while host has the zone under which the index holds it; relist adds it again
 		}
 		if h.Since != w.host.Since || w.startedAt == 0 {
 			w.startedAt = r.startTime(h, e.Whole)
@@ -99,7 +102,8 @@
 		if w.usage != r.unused && (restarted[w] || h.State != w.host.State && w.host.State != Gone) {
 			w.evidence = evidence{}
 		}
-		// The lease of a self-reported worker does not depend on the list, unlike that of unused workers.
+		// countLeased counts unused workers as leased only while the list is recent. A self-reported worker
+		// needs no lease, so it gets a usage of its own and is counted by itself.
 		if w.host, listed = h, append(listed, w); h.SelfReported {
 			r.ownUsage(w)
 		}
@@ -107,18 +111,19 @@
 	if r.relist(listed) || len(restarted) > 0 {
 		r.dropPlacements(func(w *worker) bool { return w.host.State == Gone || restarted[w] })
 	}
-	r.departedWeight, r.listedAt = max(0, before-float64(len(r.ready))), r.now
+	r.departedWeight, r.listedAt = max(0, servingBefore-float64(len(r.ready))), r.now
 }
 
-// restarted reports whether a worker has restarted since the start that was listed before. A new start far
-// before the old one comes from a clock that was stepped back; if it is only a little earlier, the old start
-// was an estimate.
-func (h *Host) restarted(before time.Duration) bool {
-	return h.Since > before || h.Since != 0 && h.Since < before-maxStartLag
+// restarted reports whether a worker has restarted since the start that was listed before. Any later start
+// counts as a restart. An earlier one counts only if the difference exceeds maxStartLag, as after the clock
+// was stepped back; if it is smaller, the start listed before was an estimate.
+func (h *Host) restarted(listedSince time.Duration) bool {
+	return h.Since > listedSince || h.Since != 0 && h.Since < listedSince-maxStartLag
 }
 
 // startTime returns when a listed worker counts as started, 0 for long ago. Since machines' clocks may be
-// stepped, a start in the future, or one so old that the list would have published it earlier, counts as now.
+// stepped, a start in the future counts as now. So does, in a list of changes only, a start so old that the
+// list would have published it earlier.
 func (r *Router) startTime(h Host, whole bool) time.Duration {
 	switch {
 	case h.Since == 0:
@@ -146,7 +151,7 @@
 	req := &request{id: e.ID, class: e.Class, tenant: min(max(e.Tenant, 0), len(r.heldDeficit)-1), fn: f,
 		arrived: r.now, deadline: r.now + e.TTL, workHint: r.estimateWork(e), loadHint: ms(e.LoadTime),
 		worth: r.settings.Classes[e.Class].Worth, zones: e.Zones}
-	if len(e.Zones) > 0 { // these come before all requests that may run anywhere
+	if len(e.Zones) > 0 { // restricted requests come before all that may run in any zone
 		req.worth, r.restrictedAt = req.worth+restrictedWorth, r.now
 	}
 	r.byID[e.ID] = req
@@ -161,7 +166,8 @@
 	r.dispatch(req)
 }
 
-// estimateWork returns the core time that a call probably takes, in ms, by its rough hint and its class.
+// estimateWork returns the core time that a call probably takes, in ms, from its rough hint and the mean of
+// its class. It also updates the running means of the class and of all calls.
 func (r *Router) estimateWork(e Arrival) float64 {
 	c := &r.classes[e.Class]
 	work := cmp.Or(max(0, ms(e.Work)), c.work, c.mean)
@@ -171,9 +177,10 @@
 	return hintWeight*work + (1-hintWeight)*c.work
 }
 
-// overAllowance takes a token of the tenant's allowance and reports whether there was none; in an overload
-// such a request is refused at once. Since clients may stay with one gateway, each allows maxTenantSkew even
-// shares.
+// overAllowance reports whether a tenant has used up its allowance at this gateway; if not, it takes one
+// token of it. In an overload, requests over the allowance are refused at once. Since clients may stay with
+// one gateway, each gateway allows a tenant maxTenantSkew times its even share, but at most the whole
+// allowance.
 func (r *Router) overAllowance(tenant int) bool {
 	if tenant >= len(r.settings.Tenants) || r.settings.Tenants[tenant].PerSec <= 0 {
 		return false
@@ -188,9 +195,9 @@
 	return false
 }
 
-// overloaded reports whether more requests are held than there are workers, or workers answer late on
-// average, or recent answers were late or FULL. The last sign counts at low rates, when most workers have not
-// answered yet.
+// overloaded reports whether more requests are held than there are ready workers, or the mean latency ratio
+// of the ready workers is above overloadRatio, or recent answers were late or Full (lateness). Lateness shows
+// an overload also at low rates, when most workers have not answered yet and so keep the mean ratio low.
 func (r *Router) overloaded() bool {
 	return len(r.held) > len(r.ready) || r.latencySum > overloadRatio*float64(len(r.ready)) ||
 		r.lateness > overloadLateness
@@ -201,20 +208,20 @@
 	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].done {
 		return
 	}
-	a := &req.attempts[e.Attempt]
-	a.done, req.inflight = true, req.inflight-1
-	a.placement.inflight--
-	r.update(a.worker, func(u *usage) {
+	attempt := &req.attempts[e.Attempt]
+	attempt.done, req.inflight = true, req.inflight-1
+	attempt.placement.inflight--
+	r.update(attempt.worker, func(u *usage) {
 		u.inflight, u.inflightWork = u.inflight-1, max(0, u.inflightWork-req.workHint)
-		if a.placement.loaded {
+		if attempt.placement.loaded {
 			u.warmInflight--
-		} else if a.placement.inflight == 0 {
+		} else if attempt.placement.inflight == 0 { // no attempt waits for the load of this copy any longer
 			u.loads, r.loads = u.loads-1, r.loads-1
 		}
 	})
-	a.mayHaveRun = !slices.Contains([]Outcome{Full, NoConn, NotSent, Miss}, e.Outcome)
-	r.charge(req.tenant, a, ms(e.Took))
-	r.learn(req, a, e)
+	attempt.mayHaveRun = !slices.Contains([]Outcome{Full, NoConn, NotSent, Miss}, e.Outcome)
+	r.charge(req.tenant, attempt, ms(e.Took))
+	r.learn(req, attempt, e)
 	if e.Final && !req.ended {
 		r.end(req, e.Attempt)
 	}
--- a/decide/memory_clock.go
+++ b/decide/memory_clock.go
@@ -1,15 +1,20 @@
 package decide
 
-// Moving the times of a snapshot to another clock: the process that takes over may have been started after the
-// machine's clock was stepped, while the one that took the snapshot still uses the clock from before.
+// Moving the times of a snapshot to another clock: the process that takes over may have been started after
+// the machine's clock was stepped, while the one that took the snapshot still uses the clock from before.
 
 import "time"
 
-// maxClockSkew is the difference between two processes' clocks above which times are moved. It is longer than a handover
-// takes even on a busy machine, since moving the times by that duration would make leases seem younger.
+// maxClockSkew is the largest difference, in either direction, between the time at which a snapshot was taken
+// and the time at which it is restored that does not count as a step of the clock. The difference contains
+// the duration of the handover. The limit is longer than a handover takes even on a busy machine: if a
+// handover counted as a step, the times would be moved forwards by its duration, and leases would seem
+// younger than they are.
 const maxClockSkew = 30 * time.Second
 
-// shift moves all times by a duration. 0 stays 0, as it means that there is no such time.
+// shift adds a duration to At and to the other times on the gateway's clock. Those that are 0 stay 0, as it
+// means that there is no such time. The workers' Since stays, as it is compared with the start that the list
+// publishes.
 func (s *Snapshot) shift(by time.Duration) {
 	s.At += by
 	for _, times := range [][]time.Duration{s.RefilledAt, s.Arrivals, s.Orders} {
@@ -26,7 +31,8 @@
 }
 
 func (w *WorkerSnapshot) shift(by time.Duration) {
-	for _, t := range []*time.Duration{&w.StartedAt, &w.LossAt, &w.ShrunkAt, &w.FailedAt, &w.FullUntil, &w.ReadyAt, &w.StoppedAt} {
+	for _, t := range []*time.Duration{&w.StartedAt, &w.LossAt, &w.ShrunkAt, &w.FailedAt, &w.FullUntil,
+		&w.ReadyAt, &w.StoppedAt} {
 		shiftOne(t, by)
 	}
 	shiftAll(w.EjectedUntil, by)
@@ -39,7 +45,7 @@
 		p := &f.Placements[i]
 		shiftOne(&p.SentAt, by)
 		shiftOne(&p.ConfirmedAt, by)
-		if p.OrderEnd < 0 { // no order until its absolute value
+		if p.OrderEnd < 0 { // before -OrderEnd an order is sent only for a waiting call
 			p.OrderEnd -= by
 		} else {
 			shiftOne(&p.OrderEnd, by)
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -11,26 +11,27 @@
 type Fault struct {
 	Delay          time.Duration // added to each read that is forwarded
 	Drop           bool          // bytes are lost, and the sender doesn't notice
-	Hold           bool          // bytes wait until the fault is over, as TCP retransmits over a link that recovers
+	Hold           bool          // bytes wait until the fault is over, as those do that TCP retransmits once a link has recovered
 	BytesPerSecond int           // 0 for no limit
-	MaxChunk       int           // most bytes of one write to the receiver, which therefore gets short reads; 0 for no limit
+	MaxChunk       int           // most bytes in one write to the receiver, so that it may get short reads; 0 for no limit
 }
 
-// Relay forwards TCP connections to a target, each direction with faults of its own. Drop in one direction makes a half-open
-// connection, and in both a partition that neither side notices; after Reset both sides notice.
+// Relay forwards TCP connections to a target, each direction with faults of its own. Drop in one direction makes a connection that
+// works only in the other, and Drop in both a partition that neither side notices. The close of one end is passed on to the other even
+// while its bytes are dropped; while they are held, it waits with them. After Reset both sides notice.
 type Relay struct {
 	ln      net.Listener
 	target  func() string
-	mu      sync.Mutex
-	changed sync.Cond // broadcast when faults or closed change
-	faults  [2]Fault  // 0: to the target, 1: from the target
+	mu      sync.Mutex // guards the fields below
+	changed sync.Cond  // broadcast when closed is set, and when faults change other than by Cut
+	faults  [2]Fault   // 0: to the target, 1: from the target
 	conns   map[net.Conn]bool
 	cut     bool // new connections are accepted, but not forwarded
 	refuses bool // new connections are reset at once
 	closed  bool
 }
 
-// newRelay listens on loopback and forwards each connection to the address that target returns when the connection is accepted.
+// newRelay listens on listenAddr and forwards each accepted connection to the address that target returns when the relay dials it.
 func newRelay(l *Lab, listenAddr string, target func() string) (*Relay, error) {
 	ln, err := net.Listen("tcp", listenAddr)
 	if err != nil {
@@ -55,7 +56,7 @@
 // Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.ln.Addr().String() }
 
-// Set sets the faults of both directions, also for open connections.
+// Set sets the faults of both directions, also for open connections. After Cut, new connections stay silent nevertheless until Heal.
 func (r *Relay) Set(toTarget, fromTarget Fault) {
 	r.mu.Lock()
 	r.faults = [2]Fault{toTarget, fromTarget}
@@ -71,8 +72,8 @@
 	r.mu.Unlock()
 }
 
-// Cut lets nothing pass in either direction, as if the cable were pulled: connections stay open and silent, and new ones are
-// accepted but stay silent. Heal ends the cut; it resets connections that are still open.
+// Cut drops all bytes in both directions: connections stay open and silent, and new ones are accepted but stay silent. Unlike with
+// a pulled cable, the close of one end is passed on to the other. Heal ends the cut; it resets connections that are still open.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	r.cut, r.faults = true, [2]Fault{{Drop: true}, {Drop: true}}
@@ -119,7 +120,8 @@
 	return r.faults[direction]
 }
 
-// handle forwards an accepted connection until one of its ends is closed.
+// handle forwards an accepted connection until one of its ends is closed. After Refuse, or if the target cannot be dialled, it resets
+// the connection instead; after Cut it discards what the client sends until the connection is closed.
 func (r *Relay) handle(client net.Conn) {
 	r.mu.Lock()
 	r.conns[client] = true
@@ -170,7 +172,7 @@
 				wait += time.Duration(n) * time.Second / time.Duration(fault.BytesPerSecond)
 			}
 			if wait > 0 {
-				time.Sleep(wait) // the delay of the fault
+				time.Sleep(wait) // the fault's delay, plus the transmission time at its rate
 			}
 			if err := writeInChunks(to, buf[:n], fault.MaxChunk); err != nil {
 				return
--- a/internal/wire/sock/sock_test.go
+++ b/internal/wire/sock/sock_test.go
@@ -9,8 +9,9 @@
 	"go.uber.org/zap"
 )
 
-// If an engine is stopped before its acceptor has begun, nbio loses the stop and would call Accept of a closed listener endlessly, while
-// Stop waits for the acceptor to end. The acceptor has to end by itself.
+// If an engine is stopped before its acceptor goroutine has begun, nbio loses the stop and would call Accept of the closed listener
+// endlessly, while Stop waits for the acceptor to end. Accept therefore must not return once the listener is closed: it ends the goroutine
+// with runtime.Goexit.
 func TestAcceptEndsAfterCloseBeforeFirstAccept(t *testing.T) {
 	ln, err := Bind("127.0.0.1:0", false)
 	if err != nil {
@@ -25,23 +26,24 @@
 		returned = true
 	}()
 	if <-ended; returned {
-		t.Error("Accept returned to the acceptor although the listener is closed")
+		t.Error("Accept of a closed listener returned, want it to end the acceptor's goroutine")
 	}
 }
 
-// echoAndClose answers and closes on a goroutine other than the poller's, as the event loop does.
+// echoAndClose is a Handler that writes back what it has received and closes the connection. The goroutine that runs tasks does both: it
+// is not the poller's, as the event loop's is not.
 type echoAndClose struct {
 	conn  Conn
 	tasks chan func()
 }
 
-func (a *echoAndClose) Data(b []byte) error {
+func (e *echoAndClose) Data(b []byte) error {
 	b = append([]byte(nil), b...) // the poller reuses its buffer
-	a.tasks <- func() { a.conn.Write(b); a.conn.Close() }
+	e.tasks <- func() { e.conn.Write(b); e.conn.Close() }
 	return nil
 }
 
-func (a *echoAndClose) Closed(error) {}
+func (e *echoAndClose) Closed(error) {}
 
 // Clients and server close connections at the same time while other clients connect: the number of a closed descriptor is reused for a new
 // connection while the poller may still have an event of the old one to process. Every client must receive its answer.
@@ -52,31 +54,31 @@
 			task()
 		}
 	}()
-	n, err := Listen("127.0.0.1:0", Limits{Descriptors: 256, Accepted: 256},
-		func(c Conn) Handler { return &echoAndClose{c, tasks} }, zap.NewNop())
+	server, err := Listen("127.0.0.1:0", Limits{Descriptors: 256, Accepted: 256},
+		func(conn Conn) Handler { return &echoAndClose{conn, tasks} }, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Stop()
+	defer server.Stop()
 	var clients sync.WaitGroup
 	for range 16 {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
 			for i := range 400 {
-				c, err := net.Dial("tcp", n.Addr())
+				client, err := net.Dial("tcp", server.Addr())
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				c.Write([]byte{byte(i)})
+				client.Write([]byte{byte(i)})
 				got := make([]byte, 1)
-				if _, err := io.ReadFull(c, got); err != nil || got[0] != byte(i) {
-					t.Errorf("call %d: %v, %v", i, got, err)
-					c.Close()
+				if _, err := io.ReadFull(client, got); err != nil || got[0] != byte(i) {
+					t.Errorf("call %d: got the answer %v and error %v, want the answer [%d]", i, got, err, byte(i))
+					client.Close()
 					return
 				}
-				c.Close()
+				client.Close()
 			}
 		}()
 	}
